--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/admission_cost.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/admission_cost.py
@@ -70,8 +70,8 @@
 
 def _report(controller: AdmissionController, number: int, count: int) -> None:
     for customer in range(min(count, DEMANDING)):
-        controller._shares._counts[f"c{customer}"] = 1
-    controller.report(float(number))
+        controller._shares._request_counts[f"c{customer}"] = 1
+    controller.build_demand_reports(float(number))
 
 
 def _time_rate_refusals(count: int) -> float:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/admission_variants.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/admission_variants.py
@@ -4,7 +4,7 @@
 
 from geraniumlead.admission import AdmissionController
 from geraniumlead.admission.fleet_shares import FleetShares
-from geraniumlead.admission.hot_keys import HotKeys
+from geraniumlead.admission.hot_key_limiter import HotKeyLimiter
 from geraniumlead.admission.service_pool import ServicePool
 from geraniumlead.instance import Instance
 from geraniumlead_standins.bench.aimd_limit import AimdLimit
@@ -23,12 +23,12 @@
         return 1.0
 
 
-class NoHotKeys(HotKeys):
+class NoHotKeys(HotKeyLimiter):
     """Let a key take all places."""
 
     __slots__ = ()
 
-    def may_enter(self, customer: str, key: str | None, limit: float) -> bool:
+    def may_open(self, customer: str, key: str | None, limit: float) -> bool:
         """Return True."""
         return True
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/aimd_limit.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/aimd_limit.py
@@ -1,7 +1,7 @@
 """Adapt the limit by additive increase and multiplicative decrease: the rival policy."""
 
 from geraniumlead.admission.concurrency_limit import (
-    LEAST_LIMIT,
+    MIN_LIMIT,
     TOLERANCE,
     ConcurrencyLimit,
 )
@@ -16,6 +16,6 @@
 
     def _adapt(self, ratio: float, was_full: bool) -> None:
         if ratio > TOLERANCE:
-            self._value = max(LEAST_LIMIT, self._value * DECREASE)
+            self._value = max(MIN_LIMIT, self._value * DECREASE)
         elif was_full:
             self._value += 1.0
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/policies.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/policies.py
@@ -5,22 +5,22 @@
 from unittest.mock import patch
 
 from geraniumlead.cold_start import ColdStartGuard
-from geraniumlead.quarantine import QuarantineBook
+from geraniumlead.quarantine import QuarantineTracker
 from geraniumlead.routing import Route, Router
-from geraniumlead.tail import StragglerClock
+from geraniumlead.tail import StragglerDetector
 
 
 @contextmanager
 def without_hedges() -> Iterator[None]:
     """Never take a subquery for late."""
-    with patch.object(StragglerClock, "delay_ms", lambda self, service, share, now_ms: None):
+    with patch.object(StragglerDetector, "delay_ms", lambda self, service, share, now_ms: None):
         yield
 
 
 @contextmanager
 def with_fixed_hedge_delay(delay_ms: float) -> Iterator[None]:
     """Take a subquery for late after a fixed time."""
-    with patch.object(StragglerClock, "delay_ms", lambda self, service, share, now_ms: delay_ms):
+    with patch.object(StragglerDetector, "delay_ms", lambda self, service, share, now_ms: delay_ms):
         yield
 
 
@@ -50,7 +50,7 @@
         without_quarantine(),
         patch.object(ColdStartGuard, "takes_load", lambda self, upstream_id, now_ms: True),
         patch.object(
-            ColdStartGuard, "most_in_flight", lambda self, entry, warm_limit, now_ms: warm_limit
+            ColdStartGuard, "max_in_flight", lambda self, entry, warm_limit, now_ms: warm_limit
         ),
     ):
         yield
@@ -69,5 +69,5 @@
 @contextmanager
 def without_quarantine() -> Iterator[None]:
     """Let a query run whatever its upstreams suffered; else it would hide their falls."""
-    with patch.object(QuarantineBook, "remaining_ms", lambda self, fingerprint, now_ms: 0.0):
+    with patch.object(QuarantineTracker, "remaining_ms", lambda self, fingerprint, now_ms: 0.0):
         yield
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/plain_variants.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/plain_variants.py
@@ -48,7 +48,7 @@
     def most_in_flight(self, entry, warm_limit: int, now_ms: float) -> int:
         return warm_limit
 
-    with patch.object(ColdStartGuard, "most_in_flight", most_in_flight):
+    with patch.object(ColdStartGuard, "max_in_flight", most_in_flight):
         yield
 
 
--- a/packages/geraniumlead/src/geraniumlead/admission/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Decide whom to serve, who waits and who is refused."""
+"""Admission control: which requests start, wait or are refused."""
 
 from geraniumlead.admission.controller import AdmissionController
 from geraniumlead.admission.decisions import AdmissionDecision, Admitted, Queued, Refused
--- a/packages/geraniumlead/src/geraniumlead/admission/contract_gate.py
+++ b/packages/geraniumlead/src/geraniumlead/admission/contract_gate.py
@@ -1,5 +1,3 @@
-"""Enforce this instance's share of one contract."""
-
 from geraniumlead.admission.contract_validity import ContractValidity
 from geraniumlead.admission.token_bucket import TokenBucket
 from geraniumlead.documents.contract import ContractDocument
@@ -7,11 +5,12 @@
 
 
 class ContractGate:
-    """Hold a contract and what of its limits is used here.
+    """Enforces this instance's share of the limits of one contract.
 
-    Rate, burst and concurrent requests shrink with the share. Each instance keeps at least
-    one token and one place, or a small contract on a large fleet could nowhere be served;
-    the fleet's sums then are at most the contract's figure and one for each instance.
+    Rate, burst and concurrent requests are scaled by the share. Each instance always allows a
+    burst of one and one open request. Otherwise a small contract on a large fleet could not be
+    served anywhere. The fleet's totals therefore exceed the contract by at most one for each
+    instance.
     """
 
     __slots__ = ("_bucket", "classes", "contract", "open_requests", "validity")
@@ -22,21 +21,21 @@
         self._bucket = TokenBucket(self._burst(share), now_ms)
 
     def replace(self, contract: ContractDocument) -> None:
-        """Take over a changed contract; what is used of it stays."""
+        """Apply a changed contract. Tokens and open requests are kept."""
         self.contract = contract
         self.classes: dict[str, TrafficClass] = {found.name: found for found in contract.classes}
         self.validity = ContractValidity.from_contract(contract)
 
     def take_token(self, share: float, now_ms: float) -> bool:
-        """Take a token of the rate; False when the share is used up."""
+        """Take a token of the rate limit. Return False if there is none."""
         return self._bucket.take(self.contract.rate_per_s * share, self._burst(share), now_ms)
 
-    def give_token_back(self) -> None:
-        """Return the token of a request that is refused for another reason."""
-        self._bucket.give_back()
+    def return_token(self) -> None:
+        """Give back the token of a request that is refused for another reason."""
+        self._bucket.return_token()
 
-    def has_place(self, share: float) -> bool:
-        """Return whether one more request may be open."""
+    def has_capacity(self, share: float) -> bool:
+        """Return whether one more request may be opened."""
         return self.open_requests < max(1, int(self.contract.concurrent_requests * share))
 
     def _burst(self, share: float) -> float:
--- a/packages/geraniumlead/src/geraniumlead/admission/contract_validity.py
+++ b/packages/geraniumlead/src/geraniumlead/admission/contract_validity.py
@@ -1,5 +1,3 @@
-"""Decide whether a contract is in its dates."""
-
 from dataclasses import dataclass
 from datetime import UTC, datetime
 
@@ -8,18 +6,18 @@
 
 @dataclass(slots=True, frozen=True)
 class ContractValidity:
-    """Hold the dates of a contract in seconds since the epoch; None is unbounded."""
+    """The validity period of a contract in seconds since the epoch. None means unbounded."""
 
     from_s: float | None
     until_s: float | None
 
     @classmethod
     def from_contract(cls, contract: ContractDocument) -> "ContractValidity":
-        """Parse the dates; one that is malformed bounds nothing."""
+        """Parse the dates of a contract. A malformed date is treated as unbounded."""
         return cls(_parse_instant(contract.valid_from), _parse_instant(contract.valid_until))
 
     def is_valid(self, wall_now_s: float | None) -> bool:
-        """Return whether the contract is in force; an unknown time refuses nobody."""
+        """Return whether the contract is valid. It counts as valid while the time is unknown."""
         if wall_now_s is None:
             return True
         if self.from_s is not None and wall_now_s < self.from_s:
@@ -27,7 +25,7 @@
         return self.until_s is None or wall_now_s < self.until_s
 
     def starts_in_s(self, wall_now_s: float | None) -> float | None:
-        """Return the time until the contract begins; None when it has begun or ended."""
+        """Return the time until the contract starts; None after that or if the time is unknown."""
         if wall_now_s is None or self.from_s is None or wall_now_s >= self.from_s:
             return None
         return self.from_s - wall_now_s
--- a/packages/geraniumlead/src/geraniumlead/admission/decaying_rate.py
+++ b/packages/geraniumlead/src/geraniumlead/admission/decaying_rate.py
@@ -1,16 +1,14 @@
-"""Measure a rate over the recent past."""
-
 from math import exp
 
-LEAST_WEIGHT_SHARE = 0.5
-"""Part of the time constant by which an early count is divided at least."""
+MIN_WEIGHT_SHARE = 0.5
+"""Lower bound of the divisor of a count, as a part of the time constant."""
 
 
 class DecayingRate:
-    """Count events with exponentially fading weight.
+    """An event rate over the recent past, with exponentially decaying weights.
 
-    The early estimate is divided by the weight that can have been collected so far, so that
-    a meter that has just started does not read far too low.
+    The count is divided by the weight that can have been collected since the first event, so
+    that the rate is not far too low shortly after the start.
     """
 
     __slots__ = ("_started_ms", "_time_constant_ms", "_updated_ms", "_value")
@@ -25,22 +23,23 @@
         """Count ``amount`` events."""
         if self._started_ms is None:
             self._started_ms = self._updated_ms = now_ms
-        self._fade(now_ms)
+        self._decay(now_ms)
         self._value += amount
 
     def per_s(self, now_ms: float) -> float:
         """Return the rate per second."""
         if self._started_ms is None:
             return 0.0
-        self._fade(now_ms)
+        self._decay(now_ms)
         elapsed_ms = now_ms - self._started_ms
         weight_ms = self._time_constant_ms * (1.0 - exp(-elapsed_ms / self._time_constant_ms))
-        # A short start would turn a single event into a flood, and peers would lend their
-        # shares to it: with a tenth of the time constant one request read as ten a second.
-        least_ms = LEAST_WEIGHT_SHARE * self._time_constant_ms
-        return 1000.0 * self._value / max(weight_ms, least_ms)
+        # Shortly after the start a single event would give a very high rate, and peers would
+        # lend their shares for it. With a lower bound of a tenth of a time constant of 1 s, one
+        # request gave ten per second.
+        min_weight_ms = MIN_WEIGHT_SHARE * self._time_constant_ms
+        return 1000.0 * self._value / max(weight_ms, min_weight_ms)
 
-    def _fade(self, now_ms: float) -> None:
+    def _decay(self, now_ms: float) -> None:
         if now_ms > self._updated_ms:
             self._value *= exp((self._updated_ms - now_ms) / self._time_constant_ms)
             self._updated_ms = now_ms
--- a/packages/geraniumlead/src/geraniumlead/admission/decisions.py
+++ b/packages/geraniumlead/src/geraniumlead/admission/decisions.py
@@ -1,4 +1,4 @@
-"""Define the tagged outcomes of offering a request."""
+"""Outcomes of ``AdmissionController.offer`` and ``pop_ready``."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Queued:
-    """The request waits; ``take_ready`` returns it later."""
+    """The request waits; ``pop_ready`` returns it later."""
 
     request: CallerRequest
 
--- a/packages/geraniumlead/src/geraniumlead/admission/retry_after.py
+++ b/packages/geraniumlead/src/geraniumlead/admission/retry_after.py
@@ -1,20 +1,20 @@
-"""Compute when a refused caller should come back."""
+"""Compute the time after which a refused caller should retry."""
 
 from random import Random
 
-LEAST_MS = 50.0
-MOST_MS = 30_000.0
+MIN_RETRY_AFTER_MS = 50.0
+MAX_RETRY_AFTER_MS = 30_000.0
 
-SPREAD = 1.0
-"""Longest addition to the drain time, in parts of it."""
+SPREAD_FACTOR = 1.0
+"""Longest random addition, as a multiple of the drain time."""
 
 
 def spread_retry_after(drain_ms: float, random: Random) -> float:
-    """Return a time between once and twice the drain time, within bounds.
+    """Return a random time between once and twice the drain time, which is clamped first.
 
-    Load pattern: a burst is refused within milliseconds. If all callers were told the same
-    time they would return as the same burst. Spread over a time as long as the one in which
-    the queue drains, they return at half of the rate at which they are served.
+    Load pattern: a burst is refused within milliseconds. If all callers got the same time,
+    they would return as the same burst. Spread over an interval as long as the drain time, they
+    return at half of the rate at which they are served.
     """
-    base_ms = min(MOST_MS, max(LEAST_MS, drain_ms))
-    return base_ms * (1.0 + SPREAD * random.random())
+    base_ms = min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, drain_ms))
+    return base_ms * (1.0 + SPREAD_FACTOR * random.random())
--- a/packages/geraniumlead/src/geraniumlead/admission/service_pool.py
+++ b/packages/geraniumlead/src/geraniumlead/admission/service_pool.py
@@ -1,110 +1,112 @@
-"""Admit the requests of one service within an adaptive limit."""
-
 from geraniumlead.admission.concurrency_limit import ConcurrencyLimit
 from geraniumlead.admission.decaying_rate import DecayingRate
-from geraniumlead.admission.hot_keys import HotKeys
+from geraniumlead.admission.hot_key_limiter import HotKeyLimiter
 from geraniumlead.admission.service_queue import FLOOR_SHARE, ServiceQueue
 from geraniumlead.admission.waiting_request import WaitingRequest
 from geraniumlead.requests.reasons import RefusalReason
 
-FIRST_CLASS_FACTOR = 2.0
-"""Priority 0 may exceed the limit: under overload all places are always taken, and it would
-wait for the next one to come free although it goes first at the upstreams. Trials at three
-times the capacity: a p99 of 35 ms without, 27 to 29 ms with a factor of 2, 24 ms unloaded."""
+TOP_PRIORITY_FACTOR = 2.0
+"""Factor by which requests of priority 0 may exceed the limit. Under overload the limit is always
+used up, and they would wait for another request to end although the upstreams serve them first.
+At three times the capacity their p99 is 35 ms without the factor, 27 to 29 ms with a factor of 2,
+and 24 ms without load."""
 
-MOST_WAIT_SHARE = 0.5
-"""Part of a request's time that it is expected to wait at most: the estimate may be wrong by
-a factor of two before requests that were let in have to be given up."""
+MAX_WAIT_SHARE = 0.5
+"""Longest estimated wait, as a part of the time until a request's latest start. The estimate may
+be too low by a factor of two before queued requests have to be refused as too late."""
 
 RATE_TIME_CONSTANT_MS = 500.0
 
 
 class ServicePool:
-    """Hold the places and the queue in front of one service's upstreams.
+    """The concurrency limit and the queue for one service's upstreams.
 
-    Each service has upstreams of its own, so each has its own limit: a full archive must
-    not hold up lookups. Long-running requests of a service have a pool of their own:
-    waiting for a place for seconds, they would hold the places of short ones, and their
-    latency, in one mean with that of the short ones, would shrink the limit of all.
+    Each service has its own upstreams and therefore its own limit, so that a saturated archive
+    does not delay lookups. Long-running requests of a service have a separate pool. In a common
+    one they would occupy the limit for seconds, and their latency would raise the mean and
+    shrink the limit of the short requests.
     """
 
-    __slots__ = ("_drained", "_started", "hot_keys", "in_service", "limit", "queue")
+    __slots__ = ("_completion_rate", "_start_rates", "hot_keys", "in_service", "limit", "queue")
 
     def __init__(
-        self, limit: ConcurrencyLimit | None = None, hot_keys: HotKeys | None = None
+        self, limit: ConcurrencyLimit | None = None, hot_keys: HotKeyLimiter | None = None
     ) -> None:
         self.limit = limit or ConcurrencyLimit()
         self.queue = ServiceQueue()
-        self.hot_keys = hot_keys or HotKeys()
+        self.hot_keys = hot_keys or HotKeyLimiter()
         self.in_service = 0.0
-        self._drained = DecayingRate(RATE_TIME_CONSTANT_MS)
-        self._started: dict[int, DecayingRate] = {}
+        self._completion_rate = DecayingRate(RATE_TIME_CONSTANT_MS)
+        self._start_rates: dict[int, DecayingRate] = {}
 
     def may_start(self, priority: int) -> bool:
-        """Return whether a request of the priority fits within the limit now."""
-        factor = FIRST_CLASS_FACTOR if priority == 0 else 1.0
+        """Return whether a request of this priority fits within the limit now."""
+        factor = TOP_PRIORITY_FACTOR if priority == 0 else 1.0
         return self.in_service < self.limit.value * factor
 
     def may_start_at_once(self, item: WaitingRequest) -> bool:
-        """Return whether a new request may start without standing in the queue."""
+        """Return whether a new request may start without waiting."""
         if not self.may_start(item.priority):
             return False
-        # A waiting request that may not start itself bars nobody.
-        return not self.queue.has_waiting_up_to(item.priority, self.may_start)
+        # A waiting request that may not start itself does not block a new one.
+        return not self.queue.has_startable(item.priority, self.may_start)
 
     def start(self, item: WaitingRequest, now_ms: float) -> None:
-        """Take a place."""
+        """Count a request as in service."""
         item.started_ms = now_ms
         self.in_service += item.cost
-        self.limit.note_in_service(self.in_service)
-        meter = self._started.get(item.priority)
+        self.limit.record_in_service(self.in_service)
+        meter = self._start_rates.get(item.priority)
         if meter is None:
-            meter = self._started[item.priority] = DecayingRate(RATE_TIME_CONSTANT_MS)
+            meter = self._start_rates[item.priority] = DecayingRate(RATE_TIME_CONSTANT_MS)
         meter.add(item.cost, now_ms)
 
     def end(self, item: WaitingRequest, now_ms: float) -> None:
-        """Give back a place."""
+        """Remove a request from those in service."""
         self.in_service = max(0.0, self.in_service - item.cost)
-        self._drained.add(item.cost, now_ms)
+        self._completion_rate.add(item.cost, now_ms)
 
-    def drain_ms(self, cost: float, priority: int, now_ms: float) -> float:
+    def estimate_drain_ms(self, cost: float, priority: int, now_ms: float) -> float:
         """Estimate the time in which the service serves ``cost`` of a priority.
 
-        Higher priorities take their recent rate first; what they leave, and at least the
-        floor, is for this one.
+        Higher priorities are served first, at their recent rate. This priority gets the rest
+        of the capacity, and at least ``FLOOR_SHARE`` of it.
         """
         capacity = self._capacity_per_s(now_ms)
         if capacity <= 0.0:
             return 0.0
-        left = max(FLOOR_SHARE * capacity, capacity - self._higher_per_s(priority, now_ms))
-        return 1000.0 * cost / left
+        available_per_s = max(
+            FLOOR_SHARE * capacity, capacity - self._higher_priority_per_s(priority, now_ms)
+        )
+        return 1000.0 * cost / available_per_s
 
-    def wait_ms(self, item: WaitingRequest, now_ms: float) -> float:
+    def estimate_wait_ms(self, item: WaitingRequest, now_ms: float) -> float:
         """Estimate how long a new request would wait.
 
-        It waits for what stands before it, but by the floor at most for its own class.
+        It waits for the requests ahead of it, but no longer than ``FLOOR_SHARE`` of the capacity
+        needs for those of its own priority.
         """
-        own, higher = self.queue.cost_before(item)
+        own, higher = self.queue.cost_ahead(item)
         capacity = self._capacity_per_s(now_ms)
         if capacity <= 0.0:
             return 0.0
         floor_ms = 1000.0 * own / (FLOOR_SHARE * capacity)
-        left = capacity - self._higher_per_s(item.priority, now_ms)
-        if left <= FLOOR_SHARE * capacity:
+        available_per_s = capacity - self._higher_priority_per_s(item.priority, now_ms)
+        if available_per_s <= FLOOR_SHARE * capacity:
             return floor_ms
-        return min(floor_ms, 1000.0 * (own + higher) / left)
+        return min(floor_ms, 1000.0 * (own + higher) / available_per_s)
 
-    def refuse(self, item: WaitingRequest, now_ms: float) -> RefusalReason | None:
-        """Return why a new request may not wait; None when it may."""
-        if self.wait_ms(item, now_ms) > MOST_WAIT_SHARE * (item.latest_start_ms - now_ms):
+    def find_refusal_reason(self, item: WaitingRequest, now_ms: float) -> RefusalReason | None:
+        """Return the reason why a new request may not wait, or None if it may."""
+        if self.estimate_wait_ms(item, now_ms) > MAX_WAIT_SHARE * (item.latest_start_ms - now_ms):
             return RefusalReason.CANNOT_END_IN_TIME
         return None
 
     def _capacity_per_s(self, now_ms: float) -> float:
-        # After a quiet time the recent rate says nothing, so the limit's counts too.
-        return max(self._drained.per_s(now_ms), self.limit.capacity_per_s())
+        # After an idle period the recent rate is too low, so the estimate of the limit counts too.
+        return max(self._completion_rate.per_s(now_ms), self.limit.capacity_per_s())
 
-    def _higher_per_s(self, priority: int, now_ms: float) -> float:
+    def _higher_priority_per_s(self, priority: int, now_ms: float) -> float:
         return sum(
-            meter.per_s(now_ms) for level, meter in self._started.items() if level < priority
+            meter.per_s(now_ms) for level, meter in self._start_rates.items() if level < priority
         )
--- a/packages/geraniumlead/src/geraniumlead/admission/share_lease.py
+++ b/packages/geraniumlead/src/geraniumlead/admission/share_lease.py
@@ -1,11 +1,12 @@
-"""Define a part of a contract's limits that one instance lends to another."""
-
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class ShareLease:
-    """Lend a share (1.0 is the whole contract) until a time on the holder's own clock."""
+    """A share of a contract (1.0 is all of it) that one instance lends to another.
+
+    ``until_ms`` is a time on the clock of the instance that stores the lease.
+    """
 
     share: float
     until_ms: float
--- a/packages/geraniumlead/src/geraniumlead/admission/token_bucket.py
+++ b/packages/geraniumlead/src/geraniumlead/admission/token_bucket.py
@@ -1,11 +1,8 @@
-"""Limit a rate and allow a bounded burst."""
-
-
 class TokenBucket:
-    """Hold the tokens of one contract on one instance.
+    """A token bucket that limits the rate of one contract on one instance.
 
-    The bucket starts full. Rate and size may change at any time; tokens above a smaller
-    size are lost, so that a share that shrinks cannot be spent twice.
+    The bucket starts full. Rate and size may change at any time. Tokens above a reduced size
+    are dropped, so that a share that was lent can't be spent twice.
     """
 
     __slots__ = ("_refilled_ms", "_tokens")
@@ -15,7 +12,7 @@
         self._refilled_ms = now_ms
 
     def take(self, rate_per_s: float, size: float, now_ms: float) -> bool:
-        """Take one token; False when there is none."""
+        """Take one token. Return False if there is none."""
         elapsed_ms = max(0.0, now_ms - self._refilled_ms)
         self._refilled_ms = max(now_ms, self._refilled_ms)
         self._tokens = min(size, self._tokens + rate_per_s * elapsed_ms / 1000.0)
@@ -24,6 +21,6 @@
         self._tokens -= 1.0
         return True
 
-    def give_back(self) -> None:
-        """Return the token of a request that was refused for another reason."""
+    def return_token(self) -> None:
+        """Give back the token of a request that was refused for another reason."""
         self._tokens += 1.0
--- a/packages/geraniumlead/src/geraniumlead/cold_start/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/cold_start/__init__.py
@@ -1,4 +1,4 @@
-"""Keep the load on upstreams in cold start within what they can bear."""
+"""Limit the load on upstreams that are cold or may be."""
 
 from geraniumlead.cold_start.cold_start_guard import ColdStartGuard
 from geraniumlead.cold_start.slot_holders import SlotHolders
--- a/packages/geraniumlead/src/geraniumlead/cold_start/slot_holders.py
+++ b/packages/geraniumlead/src/geraniumlead/cold_start/slot_holders.py
@@ -1,66 +1,66 @@
-"""Decide from published data which instances may call a cold upstream."""
-
 from geraniumlead.configuration.cluster_view import ClusterView
 from geraniumlead.ownership.owners import OwnerTable
 
-COLD_CALL_MOST_MS = 2_000.0
-"""Bound of an idempotent call to a cold upstream, which a new slot holder waits out.
+MAX_COLD_CALL_MS = 2_000.0
+"""Maximum duration of an idempotent call to a cold upstream. A new slot holder waits this long.
 
-Cold answers are slower than warm ones, but one that takes two seconds is better tried at
-another replica. A non-idempotent call keeps its whole deadline, as its outcome would be
-unknown otherwise.
+Cold answers are slower than warm ones, but after two seconds it is better to try another
+replica. A non-idempotent call keeps its whole deadline, because its outcome would be unknown
+otherwise.
 """
 
 
 class SlotHolders:
-    """Split an upstream's cold allowance among its owners, one call at once for each holder.
-
-    Load pattern: several owners see an upstream restart, each with a list of instances of
-    its own age. If each took a share by who seems alive, their shares would add up to more
-    than the allowance, and the upstream would fall over with every suspicion.
-
-    The first ``cold_allowance`` owners in rendezvous order hold one call each, whether or
-    not they seem alive. An instance uses its slot only when it has held the same revision
-    of the list for ``list_lag_ms`` and the longest call of the service. Then every instance
-    holds this revision or a newer one, and what an older one allowed has ended, even where
-    its process was paused or cut off and could not cancel: so calls that overlap were
-    started by holders of the same revision, who are at most ``cold_allowance`` in number.
+    """The instances that may call an upstream while it is cold, with one call at a time each.
+
+    Load pattern: several owners see an upstream restart, and their lists of instances differ
+    in age. If each took a share according to the instances that seem alive, the shares would
+    add up to more than the allowance, and every suspected failure of an instance would
+    overload the upstream.
+
+    The first ``cold_allowance`` owners in rendezvous order hold one slot each, whether or not
+    they seem alive. An instance uses its slot only after it has had the same revision of the
+    list for ``list_lag_ms`` and the duration of the service's longest call. By then every
+    instance has this revision or a newer one. Calls that an older revision allowed have ended,
+    even if their process was paused or isolated and could not cancel them. Calls that overlap
+    were therefore started by slot holders of the same revision, of which there are at most
+    ``cold_allowance``.
     """
 
-    __slots__ = ("_list_lag_ms", "_list_revision", "_longest_call_ms", "_owners", "_usable_ms")
+    __slots__ = ("_list_lag_ms", "_list_revision", "_longest_call_ms", "_owners", "_usable_from_ms")
 
     def __init__(self, list_lag_ms: float) -> None:
         self._list_lag_ms = list_lag_ms
         self._list_revision = -1
-        self._usable_ms = float("inf")
+        self._usable_from_ms = float("inf")
         self._owners = OwnerTable(ClusterView())
         self._longest_call_ms: dict[str, float] = {}
 
     def update(
         self, view: ClusterView, owners: OwnerTable, list_revision: int, now_ms: float
     ) -> None:
-        """Take over a view; a new revision of the list starts the wait again."""
+        """Apply a view. A new revision of the list restarts the wait."""
         self._owners = owners
         self._longest_call_ms = _find_longest_calls(view)
         if list_revision != self._list_revision:
             self._list_revision = list_revision
-            self.hold_back(now_ms)
+            self.restart_wait(now_ms)
 
-    def hold_back(self, now_ms: float) -> None:
-        """Start the wait again, because the view may be old."""
-        self._usable_ms = now_ms + self._list_lag_ms
+    def restart_wait(self, now_ms: float) -> None:
+        """Restart the wait, because the view may be old."""
+        self._usable_from_ms = now_ms + self._list_lag_ms
 
     def usable_from_ms(self, service: str) -> float:
-        """Return when this instance may use its slots of a service's upstreams."""
-        return self._usable_ms + self._longest_call_ms.get(service, 0.0)
+        """Return when this instance may use its cold slots for a service."""
+        return self._usable_from_ms + self._longest_call_ms.get(service, 0.0)
 
     @property
     def all_usable_from_ms(self) -> float:
-        """Return when this instance may use its slots of every service's upstreams."""
-        return self._usable_ms + max(self._longest_call_ms.values(), default=0.0)
+        """Return when this instance may use its cold slots for every service."""
+        return self._usable_from_ms + max(self._longest_call_ms.values(), default=0.0)
 
     def holders_of(self, upstream_id: str, cold_allowance: int) -> tuple[str, ...]:
-        """Return the instances that hold a slot."""
+        """Return the instances that hold a cold slot of an upstream."""
         return self._owners.owners_of(upstream_id)[:cold_allowance]
 
 
@@ -70,7 +70,7 @@
         for traffic_class in contract.classes:
             call_ms = float(traffic_class.deadline_ms)
             if traffic_class.idempotent:
-                call_ms = min(call_ms, COLD_CALL_MOST_MS)
+                call_ms = min(call_ms, MAX_COLD_CALL_MS)
             service = traffic_class.service
             longest[service] = max(longest.get(service, 0.0), call_ms)
     return longest
--- a/packages/geraniumlead/src/geraniumlead/cold_start/warmth_phase.py
+++ b/packages/geraniumlead/src/geraniumlead/cold_start/warmth_phase.py
@@ -1,13 +1,12 @@
-"""Name what an owner knows of an upstream's cold start."""
-
 from enum import StrEnum
 
 
 class WarmthPhase(StrEnum):
-    """Say whether an upstream was shown warm, and how lately.
+    """What an owner has observed of an upstream's cold start.
 
-    UNPROVEN was never used or not for long, COLD showed a sign of cold start, WARMING
-    answered warm and is given more from answer to answer, WARM takes its full share.
+    UNPROVEN: the upstream was never used, or not for a long time. COLD: it showed a sign of a
+    cold start. WARMING: it gave a warm answer, and its limit grows with each round of answers.
+    WARM: it gets its full share.
     """
 
     UNPROVEN = "unproven"
--- a/packages/geraniumlead/src/geraniumlead/coordination/call_book.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/call_book.py
@@ -8,7 +8,7 @@
 from geraniumlead.coordination.steps import AskUpstream, CoordinationStep, DropCall
 from geraniumlead.routing.route import Route
 from geraniumlead.routing.router import Router
-from geraniumlead.tail.straggler_clock import StragglerClock
+from geraniumlead.tail.straggler_detector import StragglerDetector
 from geraniumlead.upstreams.answers import Records, UpstreamAnswer
 from geraniumlead.upstreams.subquery import Subquery
 
@@ -18,7 +18,7 @@
 
     __slots__ = ("_calls", "_clock", "_next_call", "_prefix", "_router")
 
-    def __init__(self, prefix: str, router: Router, clock: StragglerClock) -> None:
+    def __init__(self, prefix: str, router: Router, clock: StragglerDetector) -> None:
         self._prefix = prefix
         self._router = router
         self._clock = clock
--- a/packages/geraniumlead/src/geraniumlead/coordination/coordinator.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/coordinator.py
@@ -20,7 +20,7 @@
 from geraniumlead.requests.outcomes import Answered, Outcome, Unknown
 from geraniumlead.requests.reasons import MissingReason
 from geraniumlead.routing.router import Router
-from geraniumlead.tail.straggler_clock import StragglerClock
+from geraniumlead.tail.straggler_detector import StragglerDetector
 from geraniumlead.upstreams.answers import (
     SURELY_NOT_RUN,
     Cold,
@@ -50,7 +50,7 @@
 
     def __init__(self, call_prefix: str, router: Router, guard: CrashGuard) -> None:
         self.guard = guard
-        clock = StragglerClock()
+        clock = StragglerDetector()
         self._view = ClusterView()
         self._queries: dict[str, OpenQuery] = {}
         self._wakes: list[tuple[float, str]] = []
@@ -195,7 +195,7 @@
         another instance's did.
         """
         canary = query.canary
-        if canary is None or query.shards[canary.place] is not shard:
+        if canary is None or query.shards[canary.position] is not shard:
             return []
         query.canary = None
         others = [found for found in query.shards if found is not shard]
@@ -215,7 +215,7 @@
 
     def _give_up_canary(self, query: OpenQuery, now_ms: float) -> list[CoordinationStep]:
         assert query.canary is not None
-        first = query.shards[query.canary.place]
+        first = query.shards[query.canary.position]
         reason = MissingReason.CONNECTION_LOST
         steps = self._resolve(query, first, None, reason, now_ms)
         return steps + self._end(query, decide_outcome(query), now_ms)
@@ -272,7 +272,7 @@
     def _ask_all(self, query: OpenQuery, now_ms: float) -> list[CoordinationStep]:
         shards = query.shards
         if query.canary is not None:
-            shards = [query.shards[query.canary.place]]
+            shards = [query.shards[query.canary.position]]
         return self._ask_shards(query, shards, now_ms) + self._end_if_done(query, now_ms)
 
     def _ask_shards(
--- a/packages/geraniumlead/src/geraniumlead/coordination/crash_guard.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/crash_guard.py
@@ -8,7 +8,7 @@
 from geraniumlead.quarantine.canary_plan import CanaryPlan
 from geraniumlead.quarantine.canary_planner import CanaryPlanner
 from geraniumlead.quarantine.fingerprint import compute_fingerprint
-from geraniumlead.quarantine.quarantine_book import QuarantineBook
+from geraniumlead.quarantine.quarantine_tracker import QuarantineTracker
 from geraniumlead.requests.caller_request import CallerRequest
 
 
@@ -17,7 +17,7 @@
 
     __slots__ = ("_book", "_planner")
 
-    def __init__(self, book: QuarantineBook, planner: CanaryPlanner) -> None:
+    def __init__(self, book: QuarantineTracker, planner: CanaryPlanner) -> None:
         self._book = book
         self._planner = planner
 
@@ -33,11 +33,11 @@
         """Return the first step of an unproven query; None when it may go everywhere."""
         if self._book.is_proven(fingerprint):
             return None
-        return self._planner.cut(plan, fingerprint)
+        return self._planner.plan_first_step(plan, fingerprint)
 
     def note_answered(self, query: OpenQuery, now_ms: float) -> None:
         """Count a query that an upstream answered."""
-        self._book.note_answered(query.fingerprint, now_ms)
+        self._book.record_answered(query.fingerprint, now_ms)
 
     def note_lost(
         self, query: OpenQuery, upstream_id: str, open_queries: Iterable[OpenQuery], now_ms: float
@@ -47,12 +47,12 @@
         ``open_queries`` are those with a call at the upstream. They are looked at once for
         each crash, however many calls it ended.
         """
-        if not self._book.knows_crash(upstream_id, now_ms):
+        if not self._book.is_known_crash(upstream_id, now_ms):
             present = {found.fingerprint for found in open_queries}
-            self._book.note_crash(upstream_id, present | {query.fingerprint}, now_ms)
-        if self._book.note_lost(query.fingerprint, upstream_id, now_ms):
+            self._book.record_crash(upstream_id, present | {query.fingerprint}, now_ms)
+        if self._book.record_lost_call(query.fingerprint, upstream_id, now_ms):
             return False
-        return self._book.may_try_again(query.fingerprint, query.request.deadline_ms, now_ms)
+        return self._book.may_retry(query.fingerprint, query.request.deadline_ms, now_ms)
 
     def is_quarantined(self, query: OpenQuery, now_ms: float) -> bool:
         """Return whether the query is quarantined now."""
--- a/packages/geraniumlead/src/geraniumlead/coordination/straggler_watch.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/straggler_watch.py
@@ -6,7 +6,7 @@
 from geraniumlead.coordination.shard_state import ShardState
 from geraniumlead.coordination.steps import AskUpstream
 from geraniumlead.requests.reasons import MissingReason
-from geraniumlead.tail.straggler_clock import StragglerClock
+from geraniumlead.tail.straggler_detector import StragglerDetector
 
 MOST_HEDGES = 2
 """Hedges of one shard: at 1,200 shards one alone leaves two late answers in too many queries."""
@@ -25,7 +25,7 @@
 
     __slots__ = ("_budgets", "_calls", "_clock")
 
-    def __init__(self, calls: CallBook, clock: StragglerClock, budgets: BudgetBook) -> None:
+    def __init__(self, calls: CallBook, clock: StragglerDetector, budgets: BudgetBook) -> None:
         self._calls = calls
         self._clock = clock
         self._budgets = budgets
@@ -59,7 +59,7 @@
     def check(self, query: OpenQuery, now_ms: float) -> list[AskUpstream]:
         """Ask again for what is late or parked, and set the next check."""
         delay_ms = self._delay_ms(query, now_ms)
-        reach_ms = self._clock.reach_ms(query.plan.service, now_ms)
+        reach_ms = self._clock.give_up_ms(query.plan.service, now_ms)
         query.watched = [shard for shard in query.watched if not shard.is_resolved]
         query.check_ms = NEVER_MS
         steps: list[AskUpstream] = []
@@ -76,7 +76,7 @@
 
     def is_beyond_reach(self, query: OpenQuery, now_ms: float) -> bool:
         """Return whether nothing that is still out is likely to come."""
-        reach_ms = self._clock.reach_ms(query.plan.service, now_ms)
+        reach_ms = self._clock.give_up_ms(query.plan.service, now_ms)
         return all(
             shard.is_resolved
             or shard.parked_until_ms is not None
--- a/packages/geraniumlead/src/geraniumlead/dispatch/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/dispatch/__init__.py
@@ -1,6 +1,6 @@
-"""Run subqueries on the upstreams that this instance owns."""
+"""Dispatching of subqueries to the upstreams that this instance owns."""
 
 from geraniumlead.dispatch.dispatcher import Dispatcher
-from geraniumlead.dispatch.steps import DispatchStep, EndCall, StartCall, StopCall, TellOwners
+from geraniumlead.dispatch.steps import DispatchStep, EndCall, NotifyOwners, StartCall, StopCall
 
-__all__ = ["DispatchStep", "Dispatcher", "EndCall", "StartCall", "StopCall", "TellOwners"]
+__all__ = ["DispatchStep", "Dispatcher", "EndCall", "NotifyOwners", "StartCall", "StopCall"]
--- a/packages/geraniumlead/src/geraniumlead/dispatch/long_running.py
+++ b/packages/geraniumlead/src/geraniumlead/dispatch/long_running.py
@@ -1,10 +1,8 @@
-"""Find the classes whose requests run long."""
-
 from geraniumlead.configuration.cluster_view import ClusterView
 
 
 def find_long_running(view: ClusterView) -> frozenset[tuple[str, str]]:
-    """Return customer and class name of each."""
+    """Return the customer and name of each traffic class with long-running requests."""
     return frozenset(
         (contract.customer, traffic_class.name)
         for contract in view.contracts.values()
--- a/packages/geraniumlead/src/geraniumlead/dispatch/refusal.py
+++ b/packages/geraniumlead/src/geraniumlead/dispatch/refusal.py
@@ -1,5 +1,3 @@
-"""Refuse at once what an upstream's queue could not serve in time."""
-
 from geraniumlead.cold_start import ColdStartGuard
 from geraniumlead.dispatch.upstream_gate import UpstreamGate
 from geraniumlead.dispatch.waiting_call import WaitingCall
@@ -8,16 +6,16 @@
 SHED_RETRY_AFTER_MS = 50.0
 
 
-def refuse_call(
+def find_refusal(
     gate: UpstreamGate, call: WaitingCall, guard: ColdStartGuard, now_ms: float
 ) -> UpstreamAnswer | None:
-    """Return the refusal of a call, or None when it may start or wait.
+    """Return the answer that refuses a call, or None if it may start or wait.
 
-    A refused subquery can go to another replica while there is time; one that waits in vain
-    can't. An upstream that is not warm is called by its slot holders only.
+    A refused subquery can still be sent to another replica in time, which is no longer possible
+    after a useless wait. An upstream that is not warm is called by its slot holders only.
     """
     entry, remaining_ms = gate.entry, call.subquery.remaining_ms
-    if call.long_running and gate.long_places == 0:
+    if call.long_running and gate.long_slots == 0:
         return Shed(SHED_RETRY_AFTER_MS)
     if guard.takes_load(entry.upstream_id, now_ms):
         wait_ms = gate.estimate_wait_ms(call, gate.warm_limit)
--- a/packages/geraniumlead/src/geraniumlead/dispatch/steps.py
+++ b/packages/geraniumlead/src/geraniumlead/dispatch/steps.py
@@ -1,4 +1,4 @@
-"""Define what a dispatcher asks for."""
+"""Steps that a dispatcher asks its caller to carry out."""
 
 from dataclasses import dataclass
 
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndCall:
-    """Tell the coordinator ``origin`` how a subquery ended; None is this instance."""
+    """Send the answer of a subquery to its coordinator ``origin``. None is this instance."""
 
     origin: str | None
     call_id: str
@@ -35,12 +35,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TellOwners:
-    """Tell the other owners of an upstream what was seen of it."""
+class NotifyOwners:
+    """Notify the other owners of an upstream about its observed phase."""
 
     upstream_id: str
     owner_ids: tuple[str, ...]
     phase: str
 
 
-DispatchStep = StartCall | StopCall | EndCall | TellOwners
+DispatchStep = StartCall | StopCall | EndCall | NotifyOwners
--- a/packages/geraniumlead/src/geraniumlead/dispatch/upstream_gate.py
+++ b/packages/geraniumlead/src/geraniumlead/dispatch/upstream_gate.py
@@ -1,28 +1,26 @@
-"""Keep the calls to one upstream within what it can bear."""
-
 from geraniumlead.dispatch.slot_limit import SlotLimit
 from geraniumlead.dispatch.waiting_call import WaitingCall
 from geraniumlead.dispatch.waiting_queue import WaitingQueue
 from geraniumlead.documents.upstream_entry import UpstreamEntry
 
-MOST_WAITING_PER_PLACE = 64
-"""Bound of the queue; the estimate of the wait refuses earlier, but has to learn first."""
+MAX_WAITING_PER_SLOT = 64
+"""Queue length per slot. The estimated wait usually refuses earlier, but needs answers first."""
 
-SERVICE_WEIGHT = 0.1
-"""Weight of the newest service time; ten answers after a step the estimate is two thirds there."""
+SERVICE_TIME_WEIGHT = 0.1
+"""Weight of a new service time in the mean, which covers two thirds of a step after ten answers."""
 
 
-FIRST_SERVICE_MS = 10.0
-"""Guess of the service time before the first answer."""
+INITIAL_SERVICE_MS = 10.0
+"""Assumed service time before the first answer."""
 
 
 OVERDUE_FACTOR = 20.0
-LEAST_OVERDUE_MS = 100.0
-"""An answer later than twenty mean service times may be on a connection that went silent."""
+MIN_OVERDUE_MS = 100.0
+"""After twenty mean service times without an answer, the connection may have failed silently."""
 
 
 class UpstreamGate:
-    """Count the calls in flight to one upstream and queue the others."""
+    """The calls of this owner to one upstream: in flight and waiting."""
 
     __slots__ = (
         "connections",
@@ -31,7 +29,7 @@
         "in_flight",
         "limit",
         "long_in_flight",
-        "long_places",
+        "long_slots",
         "owner_count",
         "service_ms",
         "waiting",
@@ -41,77 +39,78 @@
         self.in_flight: dict[str, WaitingCall] = {}
         self.waiting = WaitingQueue()
         self.limit = SlotLimit(entry, len(owners))
-        self.service_ms = FIRST_SERVICE_MS
+        self.service_ms = INITIAL_SERVICE_MS
         self.long_in_flight = 0
         self.draining_until_ms = float("-inf")
         self.set_entry(entry, owners, instance_id)
 
     def set_entry(self, entry: UpstreamEntry, owners: tuple[str, ...], instance_id: str) -> None:
-        """Take over what is published of the upstream and its owners."""
+        """Apply the published entry of the upstream and its owners."""
         self.entry = entry
         self.owner_count = len(owners)
-        self.long_places = count_long_places(entry, owners, instance_id)
+        self.long_slots = count_long_slots(entry, owners, instance_id)
         self.limit.set_share(entry, len(owners))
-        # This owner's share, at least one; kept, since every call asks for it several times.
+        # This owner's share, at least one. It is stored because every call reads it several times.
         self.connections = max(1, entry.connections // max(1, len(owners)))
 
     @property
     def warm_limit(self) -> int:
-        """Return the calls in flight that this owner may have while the upstream is warm."""
+        """Return how many calls this owner may have in flight while the upstream is warm."""
         return min(self.limit.value, self.connections)
 
     @property
     def overdue_ms(self) -> float:
-        """Return after which time a call's connection may be the fault."""
-        return max(LEAST_OVERDUE_MS, OVERDUE_FACTOR * self.service_ms)
+        """Return the time after which a call's connection may have failed."""
+        return max(MIN_OVERDUE_MS, OVERDUE_FACTOR * self.service_ms)
 
     def can_start_long(self) -> bool:
-        """Return whether a long job leaves a slot for the others."""
-        return self.long_in_flight < self.long_places
+        """Return whether one more long-running call may start."""
+        return self.long_in_flight < self.long_slots
 
     def can_end_in_time(self, wait_ms: float, remaining_ms: float) -> bool:
-        """Return whether a call that starts after ``wait_ms`` can be answered.
+        """Return whether a call that starts after ``wait_ms`` can be answered in time.
 
-        Load pattern: calls come faster than they are served. First come first served
-        then starts each call just before its deadline, so that none is answered at all.
-        A call that needs not wait is always tried, or a wrong estimate would never be mended.
+        Load pattern: calls arrive faster than they are served. In first-come, first-served
+        order each call would start just before its deadline, and none would be answered. A call
+        that does not have to wait is always started, or a wrong estimate would never be
+        corrected.
         """
         return wait_ms <= 0.0 or wait_ms + self.service_ms <= remaining_ms
 
-    def estimate_wait_ms(self, call: WaitingCall, places: int) -> float:
-        """Return how long a new call would wait for its place."""
+    def estimate_wait_ms(self, call: WaitingCall, slots: int) -> float:
+        """Return how long a new call would wait for one of the slots."""
         ahead = self.waiting.count_ahead(call.subquery.priority)
-        missing = len(self.in_flight) + ahead + 1 - places
-        return max(0, missing) * self.service_ms / max(1, places)
+        missing = len(self.in_flight) + ahead + 1 - slots
+        return max(0, missing) * self.service_ms / max(1, slots)
 
-    def note_started(self, call: WaitingCall) -> None:
-        """Count a call that goes out."""
+    def record_started(self, call: WaitingCall) -> None:
+        """Record that a call was started."""
         self.in_flight[call.subquery.call_id] = call
         self.long_in_flight += call.long_running
 
-    def note_ended(self, call: WaitingCall) -> None:
-        """Count a call that came back or was cancelled."""
+    def record_ended(self, call: WaitingCall) -> None:
+        """Record that a call was answered or cancelled."""
         del self.in_flight[call.subquery.call_id]
         self.long_in_flight -= call.long_running
 
-    def note_service_time(self, took_ms: float) -> None:
-        """Learn from an answer, or from its absence, how long the upstream takes."""
-        self.service_ms += SERVICE_WEIGHT * (took_ms - self.service_ms)
+    def record_service_time(self, took_ms: float) -> None:
+        """Update the mean service time after an answer or a timeout."""
+        self.service_ms += SERVICE_TIME_WEIGHT * (took_ms - self.service_ms)
 
 
-def count_long_places(entry: UpstreamEntry, owners: tuple[str, ...], instance_id: str) -> int:
-    """Return how many long jobs this owner may have at the upstream.
+def count_long_slots(entry: UpstreamEntry, owners: tuple[str, ...], instance_id: str) -> int:
+    """Return how many slots of the upstream this owner may use for long-running calls.
 
     All owners together leave one slot to short requests: the first ``slots - 1`` owners in
-    rendezvous order have a place, or several where there are more slots than owners. An
-    upstream of one slot has none to spare, so there one owner may run one long job. An owner
-    whose share is several slots keeps one of them free itself: its short requests can't use
-    the slot that another owner leaves.
+    rendezvous order have one slot each, or several if there are more slots than owners. An
+    upstream with a single slot can't reserve one, so one owner may run one long call there. An
+    owner whose share is several slots keeps one of them free itself, because its short requests
+    can't use a slot that another owner leaves free.
     """
     if instance_id not in owners:
         return 0
-    places = max(1, entry.slots - 1)
+    slots = max(1, entry.slots - 1)
     rank = owners.index(instance_id)
-    most = places // len(owners) + (rank < places % len(owners))
+    own_slots = slots // len(owners) + (rank < slots % len(owners))
     share = -(-entry.slots // len(owners))
-    return min(most, max(1, share - 1))
+    return min(own_slots, max(1, share - 1))
--- a/packages/geraniumlead/src/geraniumlead/dispatch/waiting_call.py
+++ b/packages/geraniumlead/src/geraniumlead/dispatch/waiting_call.py
@@ -1,5 +1,3 @@
-"""Define a subquery in an upstream's queue."""
-
 from dataclasses import dataclass
 
 from geraniumlead.upstreams.subquery import Subquery
@@ -7,7 +5,7 @@
 
 @dataclass(slots=True)
 class WaitingCall:
-    """Remember whose subquery it is and when its time is over."""
+    """A subquery in the queue of an upstream, with its origin and deadline."""
 
     subquery: Subquery
     origin: str | None
--- a/packages/geraniumlead/src/geraniumlead/dispatch/waiting_queue.py
+++ b/packages/geraniumlead/src/geraniumlead/dispatch/waiting_queue.py
@@ -1,28 +1,26 @@
-"""Queue the calls that wait for one upstream."""
-
 from collections import deque
 from collections.abc import Iterator
 
 from geraniumlead.dispatch.waiting_call import WaitingCall
 
 FLOOR_INTERVAL = 100
-"""One place in a hundred goes to the lowest class that waits, whatever waits above it.
+"""One call in a hundred is taken from the lowest waiting class, regardless of higher ones.
 
-Admission gives the lowest class its share of the service; this floor only keeps an admitted
-call from waiting for ever. It must be rare: a query waits for the latest of its shards, so at
-20 shards a floor of one in ten would hold up nearly every first-class query.
+Admission already gives the lowest class its share of the service. This floor only keeps an
+admitted call from waiting forever. It must be rare: a query waits for the last of its shards, so
+with 20 shards a floor of one in ten would delay nearly every query of the highest class.
 """
 
 Lane = tuple[int, bool]
 
 
 class WaitingQueue:
-    """Serve by priority, first come first served within one, with a floor for the lowest.
+    """The calls that wait for one upstream, by priority and first come, first served within one.
 
-    Load pattern: a steady surplus of a high class in front of one upstream. Without
-    priorities it waits behind bulk work; without the floor the lowest class would wait for
-    ever, and its callers would send again. Long jobs have lanes of their own, since they may
-    be passed over.
+    Load pattern: a high class permanently sends more than one upstream serves. Without
+    priorities it would wait behind bulk work. Without a floor the lowest class would wait
+    forever, and its callers would retry. Long-running calls have separate lanes, because they
+    may have to be skipped.
     """
 
     __slots__ = ("_lanes", "_length", "_popped")
@@ -37,12 +35,12 @@
         return self._length
 
     def __iter__(self) -> Iterator[WaitingCall]:
-        """Return the waiting calls in the order of their lanes."""
+        """Iterate over the waiting calls in the order of their lanes."""
         for lane in sorted(self._lanes):
             yield from self._lanes[lane]
 
     def push(self, call: WaitingCall) -> None:
-        """Let a call wait."""
+        """Add a call."""
         lane = (call.subquery.priority, call.long_running)
         queue = self._lanes.get(lane)
         if queue is None:
@@ -51,45 +49,45 @@
         self._length += 1
 
     def pop(self, allow_long: bool) -> WaitingCall | None:
-        """Take the next call; None when only long jobs wait and they must not start."""
+        """Remove and return the next call. None if all are long-running and must not start."""
         lanes = [lane for lane in sorted(self._lanes) if allow_long or not lane[1]]
         if not lanes:
             return None
         self._popped += 1
         is_floor = self._popped % FLOOR_INTERVAL == 0
-        return self._take(lanes[-1] if is_floor else lanes[0], from_left=True)
+        return self._pop_from(lanes[-1] if is_floor else lanes[0], from_left=True)
 
     def pop_worst(self, better_than: int) -> WaitingCall | None:
-        """Take the latest call of the lowest priority, if it is lower than ``better_than``."""
+        """Remove and return the newest call of the lowest priority, if below ``better_than``."""
         if not self._lanes:
             return None
         worst = max(self._lanes)
-        return self._take(worst, from_left=False) if worst[0] > better_than else None
+        return self._pop_from(worst, from_left=False) if worst[0] > better_than else None
 
     def count_ahead(self, priority: int) -> int:
-        """Return how many calls are served before a new one of this priority."""
+        """Return how many calls would be served before a new one of this priority."""
         return sum(len(queue) for lane, queue in self._lanes.items() if lane[0] <= priority)
 
     def remove(self, call: WaitingCall) -> None:
-        """Take out a call that is no longer wanted."""
+        """Remove a call that is no longer needed."""
         lane = (call.subquery.priority, call.long_running)
         self._lanes[lane].remove(call)
-        self._forget_if_empty(lane)
+        self._record_removal(lane)
 
     def clear(self) -> list[WaitingCall]:
-        """Take out all calls."""
+        """Remove and return all calls."""
         calls = list(self)
         self._lanes.clear()
         self._length = 0
         return calls
 
-    def _take(self, lane: Lane, from_left: bool) -> WaitingCall:
+    def _pop_from(self, lane: Lane, from_left: bool) -> WaitingCall:
         queue = self._lanes[lane]
         call = queue.popleft() if from_left else queue.pop()
-        self._forget_if_empty(lane)
+        self._record_removal(lane)
         return call
 
-    def _forget_if_empty(self, lane: Lane) -> None:
+    def _record_removal(self, lane: Lane) -> None:
         self._length -= 1
         if not self._lanes[lane]:
             del self._lanes[lane]
--- a/packages/geraniumlead/src/geraniumlead/forwarding/late_clock.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/late_clock.py
@@ -3,7 +3,7 @@
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
 from geraniumlead.forwarding.open_request import Attempt
 from geraniumlead.routes import Route
-from geraniumlead.tail import StragglerClock
+from geraniumlead.tail import StragglerDetector
 
 LEAST_SAMPLES = 40
 """Answers after which quantiles are believed: an instance sees some twenty to sixty a second
@@ -51,7 +51,7 @@
     __slots__ = ("_clock", "_longest_wait_ms")
 
     def __init__(self) -> None:
-        self._clock = StragglerClock(LEAST_SAMPLES)
+        self._clock = StragglerDetector(LEAST_SAMPLES)
         self._longest_wait_ms: dict[str, float] = {}
 
     def record(self, route: Route, latency_ms: float, now_ms: float) -> None:
--- a/packages/geraniumlead/src/geraniumlead/instance/call_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/call_handler.py
@@ -3,7 +3,7 @@
 from geraniumlead.actions import AnswerCaller, CallUpstream, CancelCall
 from geraniumlead.cold_start import WarmthPhase
 from geraniumlead.coordination import AskUpstream, CoordinationStep, DropCall, EndQuery
-from geraniumlead.dispatch import DispatchStep, EndCall, StartCall, StopCall, TellOwners
+from geraniumlead.dispatch import DispatchStep, EndCall, NotifyOwners, StartCall, StopCall
 from geraniumlead.events import UpstreamAnswered
 from geraniumlead.instance.held_steps import HeldSteps
 from geraniumlead.instance.parts import InstanceParts
@@ -78,11 +78,11 @@
 
     def take_disconnection(self, upstream_id: str, now_ms: float) -> None:
         """Note that an upstream closed its connections, which a restart does."""
-        self.run_dispatch(self._parts.dispatcher.note_disconnected(upstream_id, now_ms), now_ms)
+        self.run_dispatch(self._parts.dispatcher.handle_disconnect(upstream_id, now_ms), now_ms)
 
     def take_notice(self, notice: UpstreamNotice, now_ms: float) -> None:
         """Take in what another owner saw of an upstream."""
-        steps = self._parts.dispatcher.note_told(notice.upstream_id, notice.state, now_ms)
+        steps = self._parts.dispatcher.handle_owner_notice(notice.upstream_id, notice.state, now_ms)
         self.run_dispatch(steps, now_ms)
 
     def wake_dispatch(self, now_ms: float) -> None:
@@ -146,7 +146,7 @@
                     self._start_call(step, step.timeout_ms)
                 case StopCall(call_id=call_id) if self._held.drop_start(call_id):
                     pass
-                case TellOwners():
+                case NotifyOwners():
                     self._tell_owners(step)
                 case StopCall(call_id=call_id):
                     parts.actions.append(CancelCall(call_id))
@@ -184,7 +184,7 @@
             )
         )
 
-    def _tell_owners(self, step: TellOwners) -> None:
+    def _tell_owners(self, step: NotifyOwners) -> None:
         notice = UpstreamNotice(step.upstream_id, step.phase, 0.0)
         for owner_id in step.owner_ids:
             self._parts.send(owner_id, notice)
--- a/packages/geraniumlead/src/geraniumlead/instance/heartbeat_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/heartbeat_handler.py
@@ -28,7 +28,7 @@
         interval_ms = parts.settings.timing.heartbeat_interval_ms
         self.due_ms = now_ms + interval_ms
         self._sequence += 1
-        reports = parts.admission.report(now_ms)
+        reports = parts.admission.build_demand_reports(now_ms)
         heartbeat = Heartbeat(
             incarnation=parts.incarnation,
             data_centre=parts.settings.data_centre,
--- a/packages/geraniumlead/src/geraniumlead/instance/instance.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/instance.py
@@ -196,7 +196,7 @@
             case Heartbeat() | Goodbye():
                 self._configuration.take_sign_of_life(sender_id, message, now_ms)
                 if isinstance(message, Heartbeat):
-                    self.parts.admission.hear(sender_id, message.demand, now_ms)
+                    self.parts.admission.handle_demand(sender_id, message.demand, now_ms)
             case DocumentsWanted():
                 self._configuration.give_documents(sender_id, message)
             case DocumentsUpdate():
--- a/packages/geraniumlead/src/geraniumlead/instance/parts.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/parts.py
@@ -15,7 +15,7 @@
 from geraniumlead.instance.ticket_desk import TicketDesk
 from geraniumlead.membership import Membership
 from geraniumlead.peers import PeerMessage
-from geraniumlead.quarantine import CanaryPlanner, QuarantineBook
+from geraniumlead.quarantine import CanaryPlanner, QuarantineTracker
 from geraniumlead.routing import Router
 from geraniumlead.settings import InstanceSettings
 
@@ -65,7 +65,7 @@
         self.router = Router(
             instance_id, data_centre, self.membership, self.dispatcher, self.cold_start, random
         )
-        self.quarantine = QuarantineBook()
+        self.quarantine = QuarantineTracker()
         self.coordinator = QueryCoordinator(
             f"{instance_id}.{self.incarnation}.",
             self.router,
--- a/packages/geraniumlead/src/geraniumlead/instance/quarantine_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/quarantine_handler.py
@@ -27,14 +27,14 @@
 
     def hear(self, notice: QuarantineNotice, now_ms: float) -> None:
         """Take over what a peer quarantined."""
-        self._parts.quarantine.hear(
+        self._parts.quarantine.handle_notice(
             notice.fingerprint, notice.upstream_id, notice.remaining_ms, now_ms
         )
 
     def tell_peers(self, now_ms: float) -> None:
         """Tell every peer what was quarantined here since the last call."""
         parts = self._parts
-        for fingerprint, upstream_id in parts.quarantine.take_told():
+        for fingerprint, upstream_id in parts.quarantine.drain_notices():
             notice = QuarantineNotice(
                 fingerprint=fingerprint,
                 strikes=parts.quarantine.strikes(fingerprint),
--- a/packages/geraniumlead/src/geraniumlead/instance/request_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/request_handler.py
@@ -70,7 +70,7 @@
 
     def take_ready(self, now_ms: float) -> None:
         """Start or give up the requests whose wait is over."""
-        for decision in self._parts.admission.take_ready(now_ms):
+        for decision in self._parts.admission.pop_ready(now_ms):
             match decision:
                 case Admitted(request=request):
                     self._start_query(request, now_ms)
--- a/packages/geraniumlead/src/geraniumlead/quarantine/canary_plan.py
+++ b/packages/geraniumlead/src/geraniumlead/quarantine/canary_plan.py
@@ -1,5 +1,3 @@
-"""Define the first step of an unproven query."""
-
 from dataclasses import dataclass
 
 from geraniumlead.planning.query_plan import QueryPlan
@@ -7,7 +5,10 @@
 
 @dataclass(slots=True, frozen=True)
 class CanaryPlan:
-    """Hold a plan whose shard at ``place`` is asked first, at few replicas."""
+    """The first step of an unproven query.
+
+    The shard at ``position`` in ``plan`` is called first and has only a few replicas.
+    """
 
     plan: QueryPlan
-    place: int
+    position: int
--- a/packages/geraniumlead/src/geraniumlead/quarantine/canary_planner.py
+++ b/packages/geraniumlead/src/geraniumlead/quarantine/canary_planner.py
@@ -1,5 +1,3 @@
-"""Choose where an unproven query goes first."""
-
 from dataclasses import replace
 
 from geraniumlead.configuration.cluster_view import ClusterView
@@ -8,24 +6,25 @@
 from geraniumlead.quarantine.canary_plan import CanaryPlan
 
 CANARY_REPLICAS = 2
-"""As many as may crash before a fingerprint is quarantined."""
+"""Number of upstreams that may crash before a fingerprint is quarantined."""
 
 
 class CanaryPlanner:
-    """Cut the first step of an unproven query down to two replicas of one shard.
+    """Limits the first step of an unproven query to two replicas of one shard.
 
-    Both follow from the fingerprint, so they are the same on every instance of a data
-    centre: however many callers send a crashing query through however many instances at
-    once, it reaches two upstreams. Without this, each instance would crash a replica of its
-    own choice before the first notice to its peers arrives. To go on to a third replica when
-    both are cold or can't be reached was tried: after a crash they are just that, and thirty
-    sends through three instances at one moment crashed four upstreams instead of two.
+    Both replicas are chosen by the fingerprint and are the same on every instance of a data
+    centre. A crashing query therefore reaches two upstreams, no matter how many callers send
+    it through how many instances at the same time. Otherwise each instance would crash a
+    replica of its own choice before the first notice to its peers arrives. Continuing with a
+    third replica while both are cold or unreachable would defeat this, because that is their
+    state after a crash: thirty requests through three instances at the same moment crashed four
+    upstreams instead of two.
 
-    The two are the first of the own data centre and the first of another. With both in the
-    own one, every unproven query failed for as long as the own data centre's upstreams were
-    down. Each data centre's first is the same for all, so several data centres together
-    reach no more upstreams than there are data centres. An unproven query still fails while
-    both of its replicas are out; a proven one does not.
+    The two are the first replica in the own data centre and the first one in another. With both
+    in the own data centre, every unproven query failed while its upstreams were down. The
+    first replica in each data centre is the same for all instances, so several data centres
+    together reach no more upstreams than there are data centres. An unproven query still fails
+    while both of its replicas are unavailable; a proven one does not.
     """
 
     __slots__ = ("_data_centre", "_view")
@@ -35,36 +34,37 @@
         self._view = ClusterView()
 
     def update(self, view: ClusterView) -> None:
-        """Take over a new view."""
+        """Apply a new view."""
         self._view = view
 
-    def cut(self, plan: QueryPlan, fingerprint: int) -> CanaryPlan | None:
-        """Return the first step of a query; None when no shard has a replica."""
-        held = [place for place, shard in enumerate(plan.shards) if shard.replicas]
-        if not held:
+    def plan_first_step(self, plan: QueryPlan, fingerprint: int) -> CanaryPlan | None:
+        """Return the first step of a query, or None if no shard has a replica."""
+        candidates = [position for position, shard in enumerate(plan.shards) if shard.replicas]
+        if not candidates:
             return None
-        place = held[fingerprint % len(held)]
-        shard = plan.shards[place]
-        few = replace(shard, replicas=self._choose_few(shard.replicas, str(fingerprint)))
-        shards = (*plan.shards[:place], few, *plan.shards[place + 1 :])
-        return CanaryPlan(replace(plan, shards=shards), place)
+        position = candidates[fingerprint % len(candidates)]
+        shard = plan.shards[position]
+        reduced = replace(shard, replicas=self._choose_replicas(shard.replicas, str(fingerprint)))
+        shards = (*plan.shards[:position], reduced, *plan.shards[position + 1 :])
+        return CanaryPlan(replace(plan, shards=shards), position)
 
-    def _choose_few(self, replicas: tuple[str, ...], subject: str) -> tuple[str, ...]:
+    def _choose_replicas(self, replicas: tuple[str, ...], subject: str) -> tuple[str, ...]:
         ranked = rank_by_rendezvous(subject, replicas)
-        # Stable, so each data centre's first comes before any second, near ones before far.
+        # The sort is stable: the first of each data centre precede the second, local ones lead.
         ranked = sorted(
-            ranked, key=lambda name: (self._rank_at_home(name, ranked), not self._is_near(name))
+            ranked,
+            key=lambda name: (self._rank_in_data_centre(name, ranked), not self._is_local(name)),
         )
         return tuple(ranked[:CANARY_REPLICAS])
 
-    def _rank_at_home(self, upstream_id: str, ranked: list[str]) -> int:
-        home = self._home_of(upstream_id)
-        at_home = [name for name in ranked if self._home_of(name) == home]
-        return at_home.index(upstream_id)
+    def _rank_in_data_centre(self, upstream_id: str, ranked: list[str]) -> int:
+        data_centre = self._data_centre_of(upstream_id)
+        same_data_centre = [name for name in ranked if self._data_centre_of(name) == data_centre]
+        return same_data_centre.index(upstream_id)
 
-    def _is_near(self, upstream_id: str) -> bool:
-        return self._home_of(upstream_id) == self._data_centre
+    def _is_local(self, upstream_id: str) -> bool:
+        return self._data_centre_of(upstream_id) == self._data_centre
 
-    def _home_of(self, upstream_id: str) -> str | None:
+    def _data_centre_of(self, upstream_id: str) -> str | None:
         placed = self._view.upstreams.get(upstream_id)
         return None if placed is None else placed.data_centre
--- a/packages/geraniumlead/src/geraniumlead/quarantine/recent_set.py
+++ b/packages/geraniumlead/src/geraniumlead/quarantine/recent_set.py
@@ -1,35 +1,33 @@
-"""Remember a bounded number of fingerprints."""
-
 from collections import OrderedDict
 
 
 class RecentSet:
-    """Hold the most recently used fingerprints; the others are forgotten."""
+    """A set of bounded size that evicts the least recently used fingerprint."""
 
-    __slots__ = ("_items", "_most")
+    __slots__ = ("_capacity", "_items")
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, capacity: int) -> None:
+        self._capacity = capacity
         self._items: OrderedDict[int, None] = OrderedDict()
 
     def __contains__(self, item: int) -> bool:
-        """Return whether an item is remembered, and count that as a use."""
+        """Return whether the set contains an item, which counts as a use of it."""
         if item not in self._items:
             return False
         self._items.move_to_end(item)
         return True
 
     def __len__(self) -> int:
-        """Return the number of remembered items."""
+        """Return the number of items."""
         return len(self._items)
 
     def add(self, item: int) -> None:
-        """Remember an item, and forget the one that was not used for the longest time."""
+        """Add an item, and evict the least recently used one if the set is full."""
         self._items[item] = None
         self._items.move_to_end(item)
-        if len(self._items) > self._most:
+        if len(self._items) > self._capacity:
             self._items.popitem(last=False)
 
     def discard(self, item: int) -> None:
-        """Forget an item."""
+        """Remove an item if it is present."""
         self._items.pop(item, None)
--- a/packages/geraniumlead/src/geraniumlead/routing/router.py
+++ b/packages/geraniumlead/src/geraniumlead/routing/router.py
@@ -6,7 +6,7 @@
 from geraniumlead.cold_start import ColdStartGuard
 from geraniumlead.configuration.cluster_view import ClusterView
 from geraniumlead.dispatch.dispatcher import Dispatcher
-from geraniumlead.dispatch.upstream_gate import count_long_places
+from geraniumlead.dispatch.upstream_gate import count_long_slots
 from geraniumlead.hashing import rank_by_rendezvous
 from geraniumlead.membership.membership import Membership
 from geraniumlead.ownership.owners import OwnerTable
@@ -287,9 +287,7 @@
         if self._is_known_cold(replica, now_ms):
             owners = owners[: entry.cold_allowance]
         if long_running:
-            owners = tuple(
-                name for name in owners if count_long_places(entry, replica.owners, name)
-            )
+            owners = tuple(name for name in owners if count_long_slots(entry, replica.owners, name))
         if self._instance_id in owners:
             return Route(upstream_id, None)
         for name in replica.ranked_owners:
--- a/packages/geraniumlead/src/geraniumlead/tail/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/tail/__init__.py
@@ -1,6 +1,6 @@
-"""Decide when a subquery is late and what is done about it."""
+"""Detection of late subqueries from their latency distribution."""
 
 from geraniumlead.tail.latency_window import LatencyWindow
-from geraniumlead.tail.straggler_clock import StragglerClock
+from geraniumlead.tail.straggler_detector import StragglerDetector
 
-__all__ = ["LatencyWindow", "StragglerClock"]
+__all__ = ["LatencyWindow", "StragglerDetector"]
--- a/packages/geraniumlead/tests/core_tests/admission/builders.py
+++ b/packages/geraniumlead/tests/core_tests/admission/builders.py
@@ -1,4 +1,4 @@
-"""Build test data for admission."""
+"""Test data for admission."""
 
 from random import Random
 
@@ -11,7 +11,7 @@
 
 
 def build_request(number: int = 0, now_ms: float = 0.0, **changes) -> CallerRequest:
-    """Return a lookup that has 200 ms from ``now_ms``."""
+    """Return a lookup with a deadline 200 ms after ``now_ms``."""
     values = {
         "request_id": f"r{number}",
         "customer": "acme",
@@ -25,7 +25,7 @@
 
 
 def build_view(*contracts, instance_count: int = 1) -> ClusterView:
-    """Return a view of contracts, one index and the instances noord-0 and on."""
+    """Return a view of contracts, one index and instances named from noord-0."""
     instances = [build_instance(number) for number in range(instance_count)]
     documents = [
         *(contracts or (build_contract(),)),
@@ -36,7 +36,7 @@
 
 
 def build_controller(view: ClusterView, **limits) -> AdmissionController:
-    """Return the controller of noord-0."""
+    """Return an admission controller for noord-0."""
     controller = AdmissionController(LimitSettings(**limits), "noord-0", Random(1))
     controller.update(view)
     return controller
--- a/packages/geraniumlead/tests/core_tests/admission/test_conservation.py
+++ b/packages/geraniumlead/tests/core_tests/admission/test_conservation.py
@@ -1,4 +1,4 @@
-"""Test that no request is lost, doubled or held for ever, whatever the order of events."""
+"""Test that every request ends exactly once, in any order of events."""
 
 from unittest import TestCase
 
@@ -26,7 +26,7 @@
 
 
 class Requests:
-    """Follow each request from its offer to its one end."""
+    """Tracks each request from its offer to its end."""
 
     def __init__(self, data) -> None:
         view = build_view(build_mixed_contract())
@@ -38,7 +38,7 @@
         self.waiting: set[str] = set()
         self.ended: list[str] = []
 
-    def take(self, decision) -> None:
+    def handle(self, decision) -> None:
         request_id = decision.request.request_id
         match decision:
             case Admitted():
@@ -50,9 +50,9 @@
                 self.waiting.discard(request_id)
                 self.ended.append(request_id)
 
-    def take_ready(self) -> None:
-        for decision in self.controller.take_ready(self.now_ms):
-            self.take(decision)
+    def pop_ready(self) -> None:
+        for decision in self.controller.pop_ready(self.now_ms):
+            self.handle(decision)
 
     def offer(self) -> None:
         for _ in range(self.data.draw(st.integers(1, 12))):
@@ -60,7 +60,7 @@
             name = self.data.draw(st.sampled_from(CLASSES))
             key = self.data.draw(st.sampled_from((None, "k")))
             request = build_request(self.offered, self.now_ms, class_name=name, key=key)
-            self.take(self.controller.offer(request, self.now_ms))
+            self.handle(self.controller.offer(request, self.now_ms))
 
     def end(self, request_id: str) -> None:
         self.running.remove(request_id)
@@ -83,20 +83,20 @@
                 self.now_ms += self.data.draw(st.floats(0.0, 300.0))
             case "leave" if self.waiting:
                 self.leave(self.data.draw(st.sampled_from(sorted(self.waiting))))
-        self.take_ready()
+        self.pop_ready()
 
     def finish(self) -> None:
         while self.running or self.waiting:
             if self.running:
                 self.end(self.running[0])
             self.now_ms += 10.0
-            self.take_ready()
+            self.pop_ready()
 
 
 class ConservationTests(TestCase):
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.data())
-    def test_every_request_has_one_end(self, data):
+    def test_every_request_ends_exactly_once(self, data):
         requests = Requests(data)
         controller = requests.controller
         for _ in range(data.draw(st.integers(1, 60))):
@@ -105,7 +105,7 @@
         requests.finish()
         self.assertEqual(requests.offered, len(requests.ended))
         self.assertEqual(requests.offered, len(set(requests.ended)))
-        self.assertEqual({}, controller._item_of)
+        self.assertEqual({}, controller._open_requests)
         self.assertEqual(0, sum(gate.open_requests for gate in controller._gates.values()))
         for pool in controller._pools.values():
             self.assertAlmostEqual(0.0, pool.in_service)
--- a/packages/geraniumlead/tests/core_tests/admission/test_controller.py
+++ b/packages/geraniumlead/tests/core_tests/admission/test_controller.py
@@ -1,11 +1,11 @@
-"""Test who starts, waits and is refused."""
+"""Test which requests start, wait or are refused."""
 
 from unittest import TestCase
 
 from core_tests.admission.builders import build_controller, build_request, build_view
 from core_tests.builders import build_contract, build_traffic_class
 from geraniumlead.admission import Admitted, Queued, Refused
-from geraniumlead.admission.service_pool import FIRST_CLASS_FACTOR
+from geraniumlead.admission.service_pool import TOP_PRIORITY_FACTOR
 from geraniumlead.requests import RefusalReason
 
 YEAR_2030_S = 1_893_456_000.0
@@ -37,7 +37,7 @@
         controller.release("r0", 5.0)
         self.assertIsInstance(controller.offer(build_request(3), 5.0), Admitted)
 
-    def test_dates(self):
+    def test_validity_dates(self):
         contract = build_contract(
             valid_from="2029-12-31T23:59:00Z", valid_until="2030-01-01T01:00:00+01:00"
         )
@@ -98,7 +98,7 @@
 
     def release_one(self, request_id: str, now_ms: float = 1.0):
         self.controller.release(request_id, now_ms)
-        return self.controller.take_ready(now_ms)
+        return self.controller.pop_ready(now_ms)
 
     def test_priority_goes_first(self):
         started = self.fill("audit")
@@ -107,17 +107,17 @@
         ready = self.release_one(started[0])
         self.assertEqual([Admitted(wanted.request)], ready)
 
-    def test_first_class_may_exceed_the_limit_by_its_factor_and_no_more(self):
-        places = len(self.fill("audit"))
+    def test_priority_0_may_exceed_the_limit_by_its_factor_and_no_more(self):
+        slots = len(self.fill("audit"))
         more = len(self.fill("urgent"))
-        self.assertEqual(FIRST_CLASS_FACTOR * places, places + more)
+        self.assertEqual(TOP_PRIORITY_FACTOR * slots, slots + more)
         self.assertIsInstance(self.offer(class_name="lookup"), Queued)
 
     def test_lowest_class_gets_its_floor(self):
-        """First-class requests alone keep the service full, and one audit waits.
+        """Lookups alone use up the limit of the service while one audit waits.
 
-        With strict priority the audit would wait until its deadline. One turn in twenty has
-        to go to it.
+        With strict priorities the audit would wait until its deadline. One request in twenty
+        has to be an audit.
         """
         started = self.fill()
         self.offer(class_name="audit")
@@ -147,11 +147,11 @@
         self.assertIsInstance(late, Queued)
         self.assertEqual([Admitted(early.request)], self.release_one(started[0]))
 
-    def test_long_running_never_take_the_last_places(self):
-        """Long archive reads come first and would fill every place for seconds.
+    def test_long_running_requests_leave_slots_for_short_ones(self):
+        """Long archive reads arrive first and would occupy every slot for seconds.
 
-        A quarter of the places has to stay free for lookups, which otherwise would wait for
-        the end of a long read although the upstreams' turnover is in milliseconds.
+        Lookups would then wait for the end of a long read, although the upstreams serve them in
+        milliseconds. They have to start even while the archive reads use up their own limit.
         """
         long_ones = self.fill("archive")
         self.assertGreater(len(long_ones), 2)
@@ -171,19 +171,19 @@
         self.assertIsInstance(self.offer(key="other"), Admitted)
 
     def test_queued_request_is_given_up_as_soon_as_it_is_hopeless(self):
-        """The service stalls, and a request waits with 200 ms left.
+        """The service stalls while a request with a deadline in 50 ms waits.
 
-        At the moment in which its time cannot suffice any more it is refused, not at some
-        later event, and with a time to come back.
+        It has to be refused as soon as it can't end in time any more, not at a later event, and
+        with a time after which to retry.
         """
         self.fill()
         self.offer(deadline_ms=50.0)
         self.assertLessEqual(self.controller.next_wake_ms(), 50.0)
-        given_up = self.controller.take_ready(50.1)
-        self.assertEqual([RefusalReason.CANNOT_END_IN_TIME], reasons_of(given_up))
-        self.assertGreater(given_up[0].retry_after_ms, 0.0)
+        refused = self.controller.pop_ready(50.1)
+        self.assertEqual([RefusalReason.CANNOT_END_IN_TIME], reasons_of(refused))
+        self.assertGreater(refused[0].retry_after_ms, 0.0)
 
-    def test_release_of_a_queued_request_frees_its_place(self):
+    def test_release_of_a_queued_request_removes_it_from_the_queue(self):
         self.fill()
         self.controller.release(f"r{self.number}", 1.0)
         self.assertIsNone(self.controller.next_wake_ms())
--- a/packages/geraniumlead/tests/core_tests/admission/test_decaying_rate.py
+++ b/packages/geraniumlead/tests/core_tests/admission/test_decaying_rate.py
@@ -1,4 +1,4 @@
-"""Test the meter of recent demand."""
+"""Test the rate estimate of recent requests."""
 
 from unittest import TestCase
 
@@ -6,11 +6,12 @@
 
 
 class DecayingRateTests(TestCase):
-    def test_one_event_is_no_flood(self):
-        """A contract of 40 requests a second has a quiet hour, then a single request.
+    def test_single_event_does_not_inflate_the_rate(self):
+        """A contract of 40 requests per second is idle for an hour, then gets one request.
 
-        The meter read it as 10 a second, more than the equal share of seven instances. The
-        others lent four fifths of their shares and refused their second caller.
+        A rate of 10 per second was estimated from it, more than the equal share of seven
+        instances. The others then lent four fifths of their shares and refused their second
+        caller.
         """
         meter = DecayingRate(1_000.0)
         meter.add(1.0, 5_000.0)
--- a/packages/geraniumlead/tests/core_tests/admission/test_fleet_shares.py
+++ b/packages/geraniumlead/tests/core_tests/admission/test_fleet_shares.py
@@ -1,19 +1,24 @@
-"""Test how a contract is split over the fleet."""
+"""Test how the shares of a contract are distributed over the fleet."""
 
 from unittest import TestCase
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from geraniumlead.admission.fleet_shares import BORROWED_MS, EVERY_PEER, LENT_MS, FleetShares
+from geraniumlead.admission.fleet_shares import (
+    BORROWER_LEASE_MS,
+    EVERY_PEER,
+    LENDER_LEASE_MS,
+    FleetShares,
+)
 
 RATE_PER_S = 100.0
-BEAT_MS = 500.0
-LONGEST_DELAY_MS = LENT_MS - BORROWED_MS
+HEARTBEAT_MS = 500.0
+LONGEST_DELAY_MS = LENDER_LEASE_MS - BORROWER_LEASE_MS
 
 
 class Fleet:
-    """Let instances exchange reports, some lost and some late."""
+    """Instances that exchange demand reports, some of which are lost or late."""
 
     def __init__(self, count: int) -> None:
         names = [f"i{number}" for number in range(count)]
@@ -21,25 +26,25 @@
         for member in self.members.values():
             member.update({"acme": RATE_PER_S}, names)
         self.now_ms = 0.0
-        self.under_way: list[tuple[float, str, str, tuple]] = []
+        self.in_transit: list[tuple[float, str, str, tuple]] = []
 
     def offer(self, name: str, count: int) -> None:
         for _ in range(count):
-            self.members[name].note_offered("acme", self.now_ms)
+            self.members[name].record_offered("acme", self.now_ms)
 
-    def beat(self, name: str, delays_ms: dict[str, float | None]) -> None:
-        reports = self.members[name].report(lambda customer: 0, self.now_ms)
+    def send_heartbeat(self, name: str, delays_ms: dict[str, float | None]) -> None:
+        reports = self.members[name].build_demand_reports(lambda customer: 0, self.now_ms)
         for other in self.members:
             delay_ms = delays_ms.get(other, 1.0)
             if other != name and delay_ms is not None:
                 report = reports.get(other, reports[EVERY_PEER])
-                self.under_way.append((self.now_ms + delay_ms, name, other, report))
+                self.in_transit.append((self.now_ms + delay_ms, name, other, report))
 
     def advance(self, to_ms: float) -> None:
-        for at_ms, sender, receiver, report in sorted(self.under_way, key=lambda item: item[0]):
+        for at_ms, sender, receiver, report in sorted(self.in_transit, key=lambda item: item[0]):
             if at_ms <= to_ms:
-                self.members[receiver].hear(sender, report, at_ms)
-        self.under_way = [item for item in self.under_way if item[0] > to_ms]
+                self.members[receiver].handle_demand(sender, report, at_ms)
+        self.in_transit = [item for item in self.in_transit if item[0] > to_ms]
         self.now_ms = to_ms
 
     def shares(self) -> dict[str, float]:
@@ -47,15 +52,15 @@
 
 
 class FleetSharesTests(TestCase):
-    def test_silent_peers_leave_equal_shares(self):
+    def test_shares_are_equal_without_reports(self):
         shares = Fleet(4).shares()
         self.assertEqual([0.25] * 4, list(shares.values()))
 
     def test_share_moves_to_where_the_demand_is_and_back(self):
         """All traffic of a contract comes through one instance of four, then moves to another.
 
-        Within three beats the first must have most of the contract; after the move the
-        second must have most of it within the time of a lease and three beats.
+        The first instance must get most of the contract within three heartbeats. After the
+        move the second one must get most of it within the time of a lease and three heartbeats.
         """
         fleet = Fleet(4)
 
@@ -63,8 +68,8 @@
             for _ in range(int(seconds * 2)):
                 fleet.offer(busy, 45)
                 for name in fleet.members:
-                    fleet.beat(name, {})
-                fleet.advance(fleet.now_ms + BEAT_MS)
+                    fleet.send_heartbeat(name, {})
+                fleet.advance(fleet.now_ms + HEARTBEAT_MS)
 
         run("i0", 2.0)
         self.assertGreater(fleet.shares()["i0"], 0.8)
@@ -72,24 +77,24 @@
         self.assertGreater(fleet.shares()["i1"], 0.8)
         self.assertLessEqual(sum(fleet.shares().values()), 1.0 + 1e-9)
 
-    def test_lost_peer_calls_its_share_back(self):
+    def test_leases_expire_without_reports(self):
         fleet = Fleet(2)
         for _ in range(4):
             fleet.offer("i0", 60)
-            fleet.beat("i0", {})
-            fleet.beat("i1", {})
-            fleet.advance(fleet.now_ms + BEAT_MS)
+            fleet.send_heartbeat("i0", {})
+            fleet.send_heartbeat("i1", {})
+            fleet.advance(fleet.now_ms + HEARTBEAT_MS)
         self.assertGreater(fleet.shares()["i0"], 0.8)
-        fleet.advance(fleet.now_ms + LENT_MS)
+        fleet.advance(fleet.now_ms + LENDER_LEASE_MS)
         self.assertEqual([0.5, 0.5], list(fleet.shares().values()))
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.data())
     def test_sum_never_exceeds_the_contract(self, data):
-        """Reports are lost, or late by up to the stated delay, in any pattern.
+        """Reports are lost, or late by up to ``LONGEST_DELAY_MS``, in any pattern.
 
-        No instance may count on a share that another one still uses, or the customer would
-        get more than its contract and its upstreams more than they were sized for.
+        No instance may use a share that another one still uses. Otherwise the customer would
+        exceed its contract, and the upstreams would get more load than they are sized for.
         """
         fleet = Fleet(data.draw(st.integers(2, 5)))
         names = list(fleet.members)
@@ -98,9 +103,9 @@
             for name in names:
                 fleet.offer(name, data.draw(st.integers(0, 80)))
                 delays = {other: data.draw(delay) for other in names}
-                fleet.beat(name, delays)
-            target_ms = fleet.now_ms + BEAT_MS
+                fleet.send_heartbeat(name, delays)
+            target_ms = fleet.now_ms + HEARTBEAT_MS
             while fleet.now_ms < target_ms:
-                step_ms = data.draw(st.floats(60.0, BEAT_MS))
+                step_ms = data.draw(st.floats(60.0, HEARTBEAT_MS))
                 fleet.advance(min(target_ms, fleet.now_ms + step_ms))
                 self.assertLessEqual(sum(fleet.shares().values()), 1.0 + 1e-9)
--- a/packages/geraniumlead/tests/core_tests/admission/test_instant_failures.py
+++ b/packages/geraniumlead/tests/core_tests/admission/test_instant_failures.py
@@ -1,4 +1,4 @@
-"""Test that requests which no upstream served leave the concurrency limit alone."""
+"""Test that requests which no upstream served don't change the concurrency limit."""
 
 from unittest import TestCase
 
@@ -11,10 +11,12 @@
 
 
 class InstantFailureTests(TestCase):
-    """A query crashes all replicas of a shard, so that the next ones fail in the event in
-    which they arrive. Their latency of 0 ms became the baseline, the limit divided by it,
-    and the process ended with ZeroDivisionError; a kinder division would have learned a
-    baseline that no served request can reach, and refused the callers who came after."""
+    """A query crashes all replicas of a shard, and later requests fail as soon as they arrive.
+
+    Their latency of 0 ms became the baseline. The limit divided by it, and the process ended
+    with ZeroDivisionError. With a division guard alone, no served request could reach that
+    baseline, and later callers would be refused.
+    """
 
     def test_failures_without_any_answer_are_not_observed(self):
         controller = build_controller(build_view())
--- a/packages/geraniumlead/tests/core_tests/admission/test_wall_clock.py
+++ b/packages/geraniumlead/tests/core_tests/admission/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Test the guard against steps of the wall clock."""
+"""Test that short steps of the wall clock are ignored."""
 
 from unittest import TestCase
 
@@ -15,11 +15,11 @@
         clock.observe(1_011.5, 10_000.0)
         self.assertAlmostEqual(1_012.5, clock.now_s(11_000.0))
 
-    def test_short_step_does_no_harm(self):
-        """A time source jumps ten years ahead and is put right a minute later.
+    def test_short_step_is_ignored(self):
+        """A time source jumps ten years ahead and is corrected a minute later.
 
-        Contracts that end within these years must stay in force meanwhile, or every caller
-        would be refused for a minute. The step never stood long enough to be believed.
+        Contracts that end within these years must stay valid meanwhile, or every caller would
+        be refused for a minute. The step does not last long enough to be applied.
         """
         clock = WallClock()
         clock.observe(1_000.0, 0.0)
@@ -29,7 +29,7 @@
         clock.observe(1_060.0, 60_000.0)
         self.assertAlmostEqual(1_060.0, clock.now_s(60_000.0))
 
-    def test_step_that_stands_is_followed(self):
+    def test_lasting_step_is_followed(self):
         clock = WallClock()
         clock.observe(1_000.0, 0.0)
         for now_ms in (1_000.0, 100_000.0, 1_000.0 + STEP_CONFIRM_MS):
--- a/packages/geraniumlead/tests/core_tests/cold_start/fleet_of_dispatchers.py
+++ b/packages/geraniumlead/tests/core_tests/cold_start/fleet_of_dispatchers.py
@@ -1,11 +1,16 @@
-"""Drive several dispatchers of one upstream, each with a view of its own age."""
-
 from heapq import heappop, heappush
 
 from core_tests.builders import build_contract, build_instance, build_traffic_class, build_upstream
 from geraniumlead.cold_start import ColdStartGuard
 from geraniumlead.configuration import ClusterView, PlacedUpstream
-from geraniumlead.dispatch import Dispatcher, DispatchStep, EndCall, StartCall, StopCall, TellOwners
+from geraniumlead.dispatch import (
+    Dispatcher,
+    DispatchStep,
+    EndCall,
+    NotifyOwners,
+    StartCall,
+    StopCall,
+)
 from geraniumlead.ownership import OwnerTable
 from geraniumlead.settings import TimingSettings
 from geraniumlead.upstreams import Subquery, TimedOut, UpstreamAnswer
@@ -17,7 +22,7 @@
 
 
 class ConfirmedView:
-    """Confirm every view: what the majority of peers adds is tested on its own."""
+    """A view confirmation that always succeeds."""
 
     def is_confirmed(self, now_ms: float) -> bool:
         """Return True."""
@@ -25,25 +30,28 @@
 
 
 class FleetOfDispatchers:
-    """Hold the dispatchers, the lists under way to them, and the calls at the upstream."""
+    """Dispatchers of one upstream, each with a view of a different age.
+
+    It also holds the lists in transit to them and the calls in flight at the upstream.
+    """
 
     def __init__(self, count: int, allowance: int, list_lag_ms: float) -> None:
         self.now_ms = 0.0
         self.names = [f"noord-{number}" for number in range(count)]
         self.at_upstream: dict[str, tuple[str, float]] = {}
-        self.most_at_once = 0
+        self.max_concurrent = 0
         self.paused_until_ms = dict.fromkeys(self.names, 0.0)
         self._allowance = allowance
         self._published = 0
-        self._held = dict.fromkeys(self.names, 0)
-        self._under_way: list[tuple[float, int, str, ClusterView]] = []
+        self._delivered = dict.fromkeys(self.names, 0)
+        self._in_transit: list[tuple[float, int, str, ClusterView]] = []
         self._calls = 0
         timing = TimingSettings(list_lag_ms=list_lag_ms, pause_gap_ms=GAP_MS)
         self.guards = {name: ColdStartGuard(name, timing, ConfirmedView()) for name in self.names}
         self.dispatchers = {name: Dispatcher(name, self.guards[name]) for name in self.names}
 
     def publish(self, listed: list[int], lags_ms: list[float]) -> None:
-        """Publish a list of instances; it reaches each instance after its own lag."""
+        """Publish a list of instances, which reaches each instance after its own lag."""
         self._published += 1
         view = ClusterView(
             contracts={
@@ -55,7 +63,7 @@
             instances={"noord": tuple(build_instance(number) for number in listed)},
         )
         for name, lag_ms in zip(self.names, lags_ms, strict=True):
-            heappush(self._under_way, (self.now_ms + lag_ms, self._published, name, view))
+            heappush(self._in_transit, (self.now_ms + lag_ms, self._published, name, view))
 
     def submit(self, name: str, idempotent: bool = True) -> None:
         """Ask an instance to call the upstream, unless its process is paused."""
@@ -79,13 +87,13 @@
         self._carry_out(name, self.dispatchers[name].submit(subquery, None, self.now_ms))
 
     def answer(self, call_id: str, answer: UpstreamAnswer) -> None:
-        """End a call at the upstream; a paused process takes no notice."""
+        """End a call at the upstream. A paused process does not receive the answer."""
         name, _ = self.at_upstream.pop(call_id)
         if self.now_ms >= self.paused_until_ms[name]:
             self._carry_out(name, self.dispatchers[name].finish(call_id, answer, self.now_ms))
 
     def advance(self, by_ms: float) -> None:
-        """Let time pass in steps of a millisecond's order, so that nothing is skipped."""
+        """Advance the time in steps of 10 ms, so that no event is skipped."""
         end_ms = self.now_ms + by_ms
         while self.now_ms < end_ms:
             self.now_ms = min(end_ms, self.now_ms + 10.0)
@@ -102,18 +110,18 @@
                 self.answer(call_id, TimedOut())
 
     def _deliver(self) -> None:
-        again = []
-        while self._under_way and self._under_way[0][0] <= self.now_ms:
-            _, version, name, view = heappop(self._under_way)
+        postponed = []
+        while self._in_transit and self._in_transit[0][0] <= self.now_ms:
+            _, version, name, view = heappop(self._in_transit)
             if self.now_ms < self.paused_until_ms[name]:
-                again.append((self.paused_until_ms[name], version, name, view))
-            elif version > self._held[name]:
-                self._held[name] = version
+                postponed.append((self.paused_until_ms[name], version, name, view))
+            elif version > self._delivered[name]:
+                self._delivered[name] = version
                 dispatcher = self.dispatchers[name]
                 steps = dispatcher.update(view, OwnerTable(view), version, self.now_ms)
                 self._carry_out(name, steps)
-        for item in again:
-            heappush(self._under_way, item)
+        for item in postponed:
+            heappush(self._in_transit, item)
 
     def _carry_out(self, name: str, steps: list[DispatchStep]) -> None:
         for step in steps:
@@ -121,8 +129,8 @@
                 case StartCall():
                     end_ms = self.now_ms + step.timeout_ms
                     self.at_upstream[step.subquery.call_id] = (name, end_ms)
-                    self.most_at_once = max(self.most_at_once, len(self.at_upstream))
+                    self.max_concurrent = max(self.max_concurrent, len(self.at_upstream))
                 case StopCall(call_id=call_id):
                     self.at_upstream.pop(call_id, None)
-                case EndCall() | TellOwners():
+                case EndCall() | NotifyOwners():
                     pass
--- a/packages/geraniumlead/tests/core_tests/cold_start/test_slot_holders.py
+++ b/packages/geraniumlead/tests/core_tests/cold_start/test_slot_holders.py
@@ -1,4 +1,4 @@
-"""Test that instances with different views stay within a cold upstream's allowance."""
+"""Test that instances with different views stay within the allowance of a cold upstream."""
 
 from random import Random
 from unittest import TestCase
@@ -14,7 +14,7 @@
 
 
 def run_steps(fleet: FleetOfDispatchers, schedule: list[tuple]) -> None:
-    """Let every instance want the upstream all the time, while lists change."""
+    """Run a schedule while every instance calls the upstream all the time."""
     for step in schedule:
         match step:
             case ("publish", listed, lags_ms):
@@ -31,7 +31,7 @@
 
 
 def draw_schedule(random: Random) -> list[tuple]:
-    """Draw short lives of lists with different lags, busy times and pauses."""
+    """Return random short-lived lists with different lags, busy periods and pauses."""
     schedule: list[tuple] = []
     for _ in range(12):
         listed = set(random.sample(range(COUNT), random.randint(1, COUNT - 1)))
@@ -48,40 +48,40 @@
     return schedule
 
 
-def measure_most_at_once(seed: int, allowance: int, list_lag_ms: float) -> int:
+def measure_max_concurrent(seed: int, allowance: int, list_lag_ms: float) -> int:
     fleet = FleetOfDispatchers(COUNT, allowance, list_lag_ms)
     run_steps(fleet, draw_schedule(Random(seed)))
-    return fleet.most_at_once
+    return fleet.max_concurrent
 
 
 class SlotHolderTests(TestCase):
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.integers(0, 1_000_000), st.integers(1, 2))
     def test_sum_over_diverging_instances_stays_within_allowance(self, seed, allowance):
-        """Instances see lists late, skip some, are paused, and all want the cold upstream.
+        """Instances get lists late, miss some, are paused, and all call the cold upstream.
 
-        Each holds a list of its own age, so two may think at once that they hold the one
-        slot. The upstream falls over if calls of both overlap, and their callers see
-        connections reset.
+        Their lists differ in age, so two of them may assume at the same time that they hold the
+        single slot. If the calls of both overlap, the upstream is overloaded and their callers
+        get connection resets.
         """
-        self.assertLessEqual(measure_most_at_once(seed, allowance, LIST_LAG_MS), allowance)
+        self.assertLessEqual(measure_max_concurrent(seed, allowance, LIST_LAG_MS), allowance)
 
     def test_same_schedules_exceed_the_allowance_without_the_wait(self):
-        most = max(measure_most_at_once(seed, 1, list_lag_ms=0.0) for seed in range(40))
-        self.assertEqual(2, most)
+        max_concurrent = max(measure_max_concurrent(seed, 1, list_lag_ms=0.0) for seed in range(40))
+        self.assertEqual(2, max_concurrent)
 
     def test_instance_that_skips_a_list_does_not_share_its_slot(self):
-        """One instance misses the short life of another on the list.
+        """One instance misses that another one was on the list for a short time.
 
-        First 0 is listed alone, then 1 with it, then 0 alone again. 1 hears late that it
-        left, 0 never hears that 1 was there. Without the wait at every new revision 0 goes
-        on while 1 begins, and the upstream gets two calls.
+        First 0 is listed alone, then with 1, then alone again. 1 learns late that it was
+        removed, and 0 never learns that 1 was listed. Without the wait at every new revision 0
+        continues while 1 starts, and the upstream gets two calls.
         """
         self.assertEqual(1, self.run_skipped_list(LIST_LAG_MS))
         self.assertEqual(2, self.run_skipped_list(list_lag_ms=0.0))
 
     def run_skipped_list(self, list_lag_ms: float) -> int:
-        most = 0
+        max_concurrent = 0
         for first in (0, 1):
             fleet = FleetOfDispatchers(COUNT, 1, list_lag_ms)
             fleet.publish([first], [0.0] * COUNT)
@@ -93,8 +93,8 @@
                 fleet.advance(10.0)
                 fleet.submit("noord-0")
                 fleet.submit("noord-1")
-            most = max(most, fleet.most_at_once)
-        return most
+            max_concurrent = max(max_concurrent, fleet.max_concurrent)
+        return max_concurrent
 
     def test_slot_is_used_after_the_wait(self):
         fleet = FleetOfDispatchers(COUNT, 1, LIST_LAG_MS)
--- a/packages/geraniumlead/tests/core_tests/dispatch/builders.py
+++ b/packages/geraniumlead/tests/core_tests/dispatch/builders.py
@@ -1,4 +1,4 @@
-"""Build calls and a dispatcher whose upstream is warm."""
+"""Calls, and a dispatcher whose upstream is warm."""
 
 from core_tests.builders import build_contract, build_instance, build_traffic_class, build_upstream
 from core_tests.cold_start.fleet_of_dispatchers import ConfirmedView
@@ -15,18 +15,18 @@
 
 
 def build_subquery(call_id: str, remaining_ms: float = 200.0, **changes) -> Subquery:
-    """Return a subquery for the one upstream."""
+    """Return a subquery for ``UPSTREAM``."""
     values = {"customer": "acme", "class_name": "lookup", **changes}
     return Subquery(call_id, "r", UPSTREAM, "ledger", 1, 0, remaining_ms, b"{}", **values)
 
 
 def build_call(call_id: str, priority: int = 0, long_running: bool = False) -> WaitingCall:
-    """Return a call that waits."""
+    """Return a waiting call."""
     return WaitingCall(build_subquery(call_id, priority=priority), None, 200.0, long_running)
 
 
 def build_view(instance_count: int = 1, state: str = "serving", slots: int = 2) -> ClusterView:
-    """Return a view of one upstream and of a class of short and one of long requests."""
+    """Return a view with one upstream, and one class each of short and long requests."""
     classes = [
         build_traffic_class(),
         build_traffic_class(name="audit", priority=5, deadline_ms=5_000, long_running=True),
@@ -42,12 +42,12 @@
 def build_dispatcher(
     instance_count: int = 1, instance_id: str = "noord-0", slots: int = 2
 ) -> Dispatcher:
-    """Return a dispatcher to which the upstream was shown warm."""
+    """Return a dispatcher that has observed the upstream as warm."""
     guard = ColdStartGuard(instance_id, TimingSettings(list_lag_ms=0.0), ConfirmedView())
     dispatcher = Dispatcher(instance_id, guard)
     view = build_view(instance_count, slots=slots)
     dispatcher.update(view, OwnerTable(view), 1, 0.0)
     warmth = guard.warmth_of(UPSTREAM)
     for _ in range(8):
-        warmth.note_answer(RECORDS, 0.0, slots, 0.0)
+        warmth.record_answer(RECORDS, 0.0, slots, 0.0)
     return dispatcher
--- a/packages/geraniumlead/tests/core_tests/dispatch/test_dispatcher.py
+++ b/packages/geraniumlead/tests/core_tests/dispatch/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Test who gets an upstream's places."""
+"""Test which calls get the slots of an upstream."""
 
 from unittest import TestCase
 
@@ -31,10 +31,10 @@
         self.assertEqual(["c2"], started_ids(dispatcher.finish("c0", RECORDS, 5.0)))
 
     def test_call_that_cannot_end_in_time_is_refused_at_once(self):
-        """Calls come faster than the upstream serves them.
+        """Calls arrive faster than the upstream serves them.
 
         Each would wait in the queue and start just before its deadline, and none would be
-        answered. The coordinator could have asked another replica meanwhile.
+        answered. The coordinator could have called another replica in that time.
         """
         dispatcher = build_dispatcher()
         answers = []
@@ -45,9 +45,9 @@
         self.assertTrue(all(isinstance(answer, Shed) for answer in answers))
 
     def test_long_jobs_leave_the_last_slot(self):
-        """An audit sends many long subqueries to an upstream of two slots.
+        """An audit sends many long subqueries to an upstream with two slots.
 
-        Without the rule they hold both for seconds, and each lookup waits that long.
+        Without a reserved slot they occupy both for seconds, and each lookup waits that long.
         """
         dispatcher = build_dispatcher()
         for number in range(4):
@@ -91,23 +91,23 @@
     def test_calls_at_a_crashed_upstream_end_as_lost(self):
         """An upstream crashes, and its connections close a moment before the calls end.
 
-        Were the calls cancelled then as refused by a cold upstream, the query that crashed
-        it would be sent on to the next one and never be suspected.
+        If the calls then ended as refused by a cold upstream, the query that crashed it would be
+        sent to the next one and never be suspected.
         """
         dispatcher = build_dispatcher()
         submit(dispatcher, "c0")
         submit(dispatcher, "c1")
-        steps = dispatcher.note_disconnected(UPSTREAM, 2.0)
+        steps = dispatcher.handle_disconnect(UPSTREAM, 2.0)
         steps += dispatcher.finish("c0", ConnectionLost("reset"), 2.1)
         answers = {step.call_id: step.answer for step in steps if isinstance(step, EndCall)}
         self.assertEqual({"c0", "c1"}, answers.keys())
         self.assertTrue(all(isinstance(answer, ConnectionLost) for answer in answers.values()))
 
     def test_upstream_that_was_out_of_use_comes_back_unproven(self):
-        """An upstream leaves, restarts unseen and is listed again while it is cold.
+        """An upstream leaves, restarts unnoticed and is listed again while it is cold.
 
-        Its owners sent nothing meanwhile. Were it still taken for warm, it would get two
-        calls at once and fall over.
+        Its owners sent nothing meanwhile. If they still considered it warm, it would get two
+        calls at the same time and be overloaded.
         """
         dispatcher = build_dispatcher()
         for state in ("leaving", "serving"):
--- a/packages/geraniumlead/tests/core_tests/dispatch/test_waiting_queue.py
+++ b/packages/geraniumlead/tests/core_tests/dispatch/test_waiting_queue.py
@@ -1,4 +1,4 @@
-"""Test the order in which calls wait for an upstream."""
+"""Test the order in which waiting calls are served."""
 
 from unittest import TestCase
 
--- a/packages/geraniumlead/tests/core_tests/quarantine/test_canary_planner.py
+++ b/packages/geraniumlead/tests/core_tests/quarantine/test_canary_planner.py
@@ -1,4 +1,4 @@
-"""Test where an unproven query goes first."""
+"""Test which replicas an unproven query is sent to first."""
 
 from unittest import TestCase
 
@@ -8,11 +8,13 @@
 from geraniumlead.planning.query_plan import QueryPlan, ShardPlan
 from geraniumlead.quarantine.canary_planner import CANARY_REPLICAS, CanaryPlanner
 
-HOMES = {"noord": (0, 1), "midden": (2, 3), "zuid": (4, 5)}
+UPSTREAMS_BY_DATA_CENTRE = {"noord": (0, 1), "midden": (2, 3), "zuid": (4, 5)}
 
 
-def choose(data_centre: str, fingerprint: int, homes: dict = HOMES) -> tuple[str, ...]:
-    """Return the replicas that an instance of a data centre asks first."""
+def choose(
+    data_centre: str, fingerprint: int, homes: dict = UPSTREAMS_BY_DATA_CENTRE
+) -> tuple[str, ...]:
+    """Return the replicas that an instance in a data centre calls first."""
     lists = [
         UpstreamListDocument(
             data_centre=name, upstreams=[build_upstream(number) for number in numbers]
@@ -23,15 +25,15 @@
     planner.update(ClusterView.from_documents(lists))
     replicas = tuple(f"ledger-{number}" for numbers in homes.values() for number in numbers)
     plan = QueryPlan("ledger", 1, (ShardPlan(0, replicas),))
-    return planner.cut(plan, fingerprint).plan.shards[0].replicas
+    return planner.plan_first_step(plan, fingerprint).plan.shards[0].replicas
 
 
 class CanaryPlannerTests(TestCase):
     def test_one_replica_is_near_and_one_in_another_data_centre(self):
-        """All upstreams of a data centre die, and callers send queries not seen before.
+        """All upstreams of a data centre fail, and callers send new queries.
 
-        With both replicas of the first step at home every such query failed until the
-        upstreams were back, though two other data centres held every shard.
+        With both replicas of the first step in the own data centre, every such query failed
+        until the upstreams were back, although two other data centres held every shard.
         """
         for fingerprint in range(50):
             chosen = choose("noord", fingerprint)
@@ -40,8 +42,10 @@
 
     def test_all_data_centres_together_reach_one_upstream_of_each(self):
         for fingerprint in range(50):
-            reached = {name for home in HOMES for name in choose(home, fingerprint)}
-            self.assertLessEqual(len(reached), len(HOMES))
+            reached = {
+                name for home in UPSTREAMS_BY_DATA_CENTRE for name in choose(home, fingerprint)
+            }
+            self.assertLessEqual(len(reached), len(UPSTREAMS_BY_DATA_CENTRE))
 
     def test_a_single_data_centre_gives_both(self):
         chosen = choose("noord", 7, {"noord": (0, 1, 2, 3)})
--- a/packages/geraniumlead/tests/core_tests/routing/test_router.py
+++ b/packages/geraniumlead/tests/core_tests/routing/test_router.py
@@ -53,7 +53,7 @@
         )
         self.adopt(build_view())
         for name in LOCAL:
-            self.guard.warmth_of(name).note_told_warm(0.0)
+            self.guard.warmth_of(name).record_reported_warm(0.0)
 
     def adopt(self, view: ClusterView) -> None:
         owners = OwnerTable(view)
--- a/packages/geraniumlead/tests/core_tests/tail/test_latency_window.py
+++ b/packages/geraniumlead/tests/core_tests/tail/test_latency_window.py
@@ -1,9 +1,9 @@
-"""Test how quickly quantiles follow a change."""
+"""Test how quickly the quantiles follow a change in latency."""
 
 from unittest import TestCase
 
-from geraniumlead.tail import LatencyWindow, StragglerClock
-from geraniumlead.tail.latency_window import LEAST_SAMPLES, WINDOW_MS
+from geraniumlead.tail import LatencyWindow, StragglerDetector
+from geraniumlead.tail.latency_window import MIN_SAMPLES, WINDOW_MS
 
 
 def feed(window: LatencyWindow, latency_ms: float, start_ms: float, for_ms: float) -> float:
@@ -17,7 +17,7 @@
 class LatencyWindowTests(TestCase):
     def test_few_samples_give_no_quantile(self):
         window = LatencyWindow(0.0)
-        for _ in range(LEAST_SAMPLES - 1):
+        for _ in range(MIN_SAMPLES - 1):
             window.record(4.0, 0.0)
         self.assertIsNone(window.quantile_ms(0.98, 100.0))
         window.record(4.0, 100.0)
@@ -37,7 +37,7 @@
         self.assertIsNone(window.quantile_ms(0.5, 3.0 * WINDOW_MS))
 
     def test_hedge_delay_leaves_just_the_budget_above_it(self):
-        clock = StragglerClock()
+        clock = StragglerDetector()
         for number in range(1_000):
             clock.record("ledger", 1.0 + number / 100.0, 0.0)
         self.assertAlmostEqual(10.8, clock.delay_ms("ledger", 0.02, 100.0), delta=0.2)
--- a/packages/geraniumlead/tests/core_tests/tickets/test_repeats.py
+++ b/packages/geraniumlead/tests/core_tests/tickets/test_repeats.py
@@ -68,7 +68,7 @@
 
         with (
             patch.object(AdmissionController, "offer", offer),
-            patch.object(AdmissionController, "take_ready", take_ready),
+            patch.object(AdmissionController, "pop_ready", take_ready),
         ):
             booking.send("first", 900.0)
             booking.send("repeat", 900.0)
