--- a/packages/geraniumlead/src/geraniumlead/cold_start/cold_start_guard.py
+++ b/packages/geraniumlead/src/geraniumlead/cold_start/cold_start_guard.py
@@ -63,9 +63,8 @@
         if now_ms - self._last_tick_ms > self._pause_gap_ms:
             self._slot_holders.restart_wait(now_ms)
         self._last_tick_ms = now_ms
-        # Until then a new instance can only refuse, because its upstreams are unproven and its
-        # cold slots are not usable yet. It reports not ready, so that the load balancer chooses
-        # other instances.
+        # Until its cold slots are usable, a new instance can only refuse, because its upstreams
+        # are unproven. It reports not ready, so that the load balancer chooses other instances.
         if not self.can_serve:
             self.can_serve = now_ms >= self._slot_holders.all_usable_from_ms
 
--- a/packages/geraniumlead/src/geraniumlead/dispatch/dispatcher.py
+++ b/packages/geraniumlead/src/geraniumlead/dispatch/dispatcher.py
@@ -270,8 +270,8 @@
             if call is None:
                 break
             remaining_ms = call.deadline_ms - now_ms
-            is_hopeless = gate.waiting and remaining_ms < gate.service_ms
-            if remaining_ms <= 0 or is_hopeless:
+            is_too_late = gate.waiting and remaining_ms < gate.service_ms
+            if remaining_ms <= 0 or is_too_late:
                 del self._calls[call.subquery.call_id]
                 steps.append(self._end(call, Shed(SHED_RETRY_AFTER_MS)))
                 continue
--- a/packages/geraniumlead/src/geraniumlead/quarantine/canary_planner.py
+++ b/packages/geraniumlead/src/geraniumlead/quarantine/canary_planner.py
@@ -50,7 +50,7 @@
 
     def _choose_replicas(self, replicas: tuple[str, ...], subject: str) -> tuple[str, ...]:
         ranked = rank_by_rendezvous(subject, replicas)
-        # The sort is stable: the first of each data centre precede the second, local ones lead.
+        # Stable sort: each data centre's first replica precedes any second one, local ones first.
         ranked = sorted(
             ranked,
             key=lambda name: (self._rank_in_data_centre(name, ranked), not self._is_local(name)),
--- a/packages/geraniumlead/tests/core_tests/admission/test_controller.py
+++ b/packages/geraniumlead/tests/core_tests/admission/test_controller.py
@@ -170,7 +170,7 @@
         self.assertEqual({RefusalReason.HOT_KEY}, set(reasons_of(found)))
         self.assertIsInstance(self.offer(key="other"), Admitted)
 
-    def test_queued_request_is_given_up_as_soon_as_it_is_hopeless(self):
+    def test_queued_request_is_refused_as_soon_as_it_cannot_end_in_time(self):
         """The service stalls while a request with a deadline in 50 ms waits.
 
         It has to be refused as soon as it can't end in time any more, not at a later event, and
--- a/packages/geraniumlead/tests/core_tests/cold_start/fleet_of_dispatchers.py
+++ b/packages/geraniumlead/tests/core_tests/cold_start/fleet_of_dispatchers.py
@@ -22,7 +22,7 @@
 
 
 class ConfirmedView:
-    """A view confirmation that always succeeds."""
+    """A view confirmation that always succeeds. The majority of peers is tested separately."""
 
     def is_confirmed(self, now_ms: float) -> bool:
         """Return True."""
