--- a/packages/geraniumlead-server/src/geraniumlead_server/platform/requests.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform/requests.py
@@ -59,7 +59,7 @@
         body=body,
         arrived_ms=arrived_ms,
         wait_ms=wait_ms,
-        way_ms=way_ms,
+        caller_rtt_ms=way_ms,
     )
 
 
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform/store_client.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform/store_client.py
@@ -7,7 +7,7 @@
 from msgspec.json import Decoder
 
 from geraniumlead.forwarding import UpstreamWithdrawn
-from geraniumlead.forwarding.news import News
+from geraniumlead.forwarding.updates import PublishedUpdate
 from geraniumlead.peering import RelayedItem, StoreNews
 from geraniumlead_server.platform.names import (
     HISTORY_GONE_STATUS,
@@ -77,7 +77,7 @@
     for a change at the least: 0 when there was one.
     """
 
-    news: tuple[News, ...]
+    news: tuple[PublishedUpdate, ...]
     revision: int
     has_more: bool
     relayed: StoreNews
@@ -95,11 +95,11 @@
         self._base = f"http://{address}"
         self._session: ClientSession | None = None
         self._revisions: dict[str, int] = {}
-        self._known: dict[str, News] = {}
+        self._known: dict[str, PublishedUpdate] = {}
         self._held: dict[str, RelayedItem] = {}
         self._unreadable: set[tuple[str, str]] = set()
 
-    async def read_all(self, timeout_ms: float) -> tuple[tuple[News, ...], int]:
+    async def read_all(self, timeout_ms: float) -> tuple[tuple[PublishedUpdate, ...], int]:
         """Return everything that stands in the store, and the revision to watch from.
 
         ``timeout_ms`` is for each page.
@@ -135,7 +135,7 @@
             waited_ms=0.0 if found.events else float(wait_ms),
         )
 
-    def read_relayed(self, relayed: StoreNews) -> tuple[News, ...]:
+    def read_relayed(self, relayed: StoreNews) -> tuple[PublishedUpdate, ...]:
         """Return what another instance has read."""
         items = [
             ItemBody(item.key, item.revision, item.value, item.value is None)
@@ -174,13 +174,13 @@
         except (DecodeError, ValidationError) as error:
             raise StoreError(str(error)) from error
 
-    def _read_anew(self, items: list[ItemBody]) -> tuple[News, ...]:
+    def _read_anew(self, items: list[ItemBody]) -> tuple[PublishedUpdate, ...]:
         self._revisions.clear()
         self._known.clear()
         self._held.clear()
         return tuple(self._read_items(items)[0])
 
-    def _read_items(self, items: list[ItemBody]) -> tuple[list[News], list[ItemBody]]:
+    def _read_items(self, items: list[ItemBody]) -> tuple[list[PublishedUpdate], list[ItemBody]]:
         """Return what items say that was not known, and the items that said so."""
         found, changed = [], []
         for item in items:
@@ -200,7 +200,7 @@
                 self._held.pop(item.key, None)
         return found, changed
 
-    def _read_one(self, item: ItemBody) -> News | None:
+    def _read_one(self, item: ItemBody) -> PublishedUpdate | None:
         news = read_item(item.key, None if item.deleted else item.value)
         if not isinstance(news, Unreadable):
             return news
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform/store_records.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform/store_records.py
@@ -12,7 +12,7 @@
     UpstreamSeen,
     UpstreamWithdrawn,
 )
-from geraniumlead.forwarding.news import News
+from geraniumlead.forwarding.updates import PublishedUpdate
 from geraniumlead.routes import (
     FanOut,
     OneService,
@@ -123,7 +123,7 @@
     reason: str
 
 
-def read_item(key: str, value: bytes | None) -> News | Unreadable | None:
+def read_item(key: str, value: bytes | None) -> PublishedUpdate | Unreadable | None:
     """Return what a key's value says; None for keys of no interest.
 
     ``value`` is None when the key was deleted.
@@ -140,7 +140,7 @@
     return None
 
 
-def _read_upstream(key: str, upstream_id: str, value: bytes) -> News | Unreadable:
+def _read_upstream(key: str, upstream_id: str, value: bytes) -> PublishedUpdate | Unreadable:
     try:
         body = _SERVER.decode(value)
     except (DecodeError, ValidationError, UnicodeDecodeError, RecursionError) as error:
@@ -159,7 +159,7 @@
     )
 
 
-def _read_configuration(value: bytes) -> News | Unreadable:
+def _read_configuration(value: bytes) -> PublishedUpdate | Unreadable:
     try:
         body = _CONFIGURATION.decode(value)
         routes = RouteTable([_read_route(route) for route in body.routes])
--- a/packages/geraniumlead-server/src/geraniumlead_server/store_follower.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/store_follower.py
@@ -7,8 +7,8 @@
 
 from msgspec.structs import replace
 
-from geraniumlead.forwarding import PublishedNews, StoreLost
-from geraniumlead.forwarding.news import News
+from geraniumlead.forwarding import PublishedUpdates, StoreLost
+from geraniumlead.forwarding.updates import PublishedUpdate
 from geraniumlead.peering import ReadingPace, StoreContact, StoreNews
 from geraniumlead.peering.reading_pace import PATIENCE_SPREAD, PROMPT_WATCH_MS
 from geraniumlead_server.backoff import Backoff
@@ -59,7 +59,7 @@
         self,
         client: StoreClient,
         bound_ms: float,
-        report: Callable[[PublishedNews | StoreLost], None],
+        report: Callable[[PublishedUpdates | StoreLost], None],
         random: Random,
         duty: StoreDuty | None = None,
     ) -> None:
@@ -115,7 +115,7 @@
             self._note_as_of(self._loop.time() - age_ms / 1000.0)
             self._contact.note_told()
         is_after_outage = relayed.is_after_outage
-        self._report(PublishedNews(news, relayed.is_state, is_after_outage, age_ms, source))
+        self._report(PublishedUpdates(news, relayed.is_state, is_after_outage, age_ms, source))
 
     def tell_state(self, beyond_revision: int | None) -> StoreNews | None:
         """Return what one who asks does not know; None when this instance knows less.
@@ -195,7 +195,7 @@
         self._note_as_of(as_of_s)
         age_ms = (self._loop.time() - as_of_s) * 1000.0
         is_after_outage, self._is_told_of_outage = self._is_told_of_outage, False
-        self._report(PublishedNews(news, is_snapshot, is_after_outage, age_ms))
+        self._report(PublishedUpdates(news, is_snapshot, is_after_outage, age_ms))
         if changes is not None:
             self._relay(changes.relayed, age_ms)
         if self._has_more:
@@ -231,7 +231,7 @@
             return self._pace.telling_ms
         return self._pace.pause_ms if self._is_changing else self._pace.watch_ms
 
-    async def _read_state(self) -> tuple[News, ...]:
+    async def _read_state(self) -> tuple[PublishedUpdate, ...]:
         """Read everything anew; what peers tell meanwhile is read in the watch that follows."""
         self._is_reading_state = True
         try:
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/reading_fleet.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/reading_fleet.py
@@ -7,7 +7,7 @@
 
 import async_solipsism
 
-from geraniumlead.forwarding import ConfigurationSeen, PublishedNews, StoreLost, UpstreamSeen
+from geraniumlead.forwarding import ConfigurationSeen, PublishedUpdates, StoreLost, UpstreamSeen
 from geraniumlead.peering import StoreNews, decode_peering, encode_peering
 from geraniumlead_server.store_duty import StoreDuty
 from geraniumlead_server.store_follower import StoreFollower
@@ -148,12 +148,12 @@
         else:
             self._unread.append(read)
 
-    def _take(self, event: PublishedNews | StoreLost) -> None:
+    def _take(self, event: PublishedUpdates | StoreLost) -> None:
         if isinstance(event, StoreLost):
             return
         now_s = asyncio.get_running_loop().time()
         self._read_s = max(self._read_s, now_s - event.age_ms / 1000.0)
-        for item in event.news:
+        for item in event.updates:
             match item:
                 case UpstreamSeen(record=record):
                     self.known[record.upstream_id] = item
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/test_store_follower.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/test_store_follower.py
@@ -5,7 +5,7 @@
 from unittest import IsolatedAsyncioTestCase
 
 from geraniumlead.forwarding import (
-    PublishedNews,
+    PublishedUpdates,
     StoreLost,
     UpstreamSeen,
     UpstreamWithdrawn,
@@ -55,12 +55,12 @@
             while not condition():
                 await asyncio.sleep(0.01)
 
-    def snapshots(self) -> list[PublishedNews]:
-        return [e for e in self.seen if isinstance(e, PublishedNews) and e.is_snapshot]
+    def snapshots(self) -> list[PublishedUpdates]:
+        return [e for e in self.seen if isinstance(e, PublishedUpdates) and e.is_snapshot]
 
     def news(self, kind: type) -> list:
-        published = [event for event in self.seen if isinstance(event, PublishedNews)]
-        return [item for event in published for item in event.news if isinstance(item, kind)]
+        published = [event for event in self.seen if isinstance(event, PublishedUpdates)]
+        return [item for event in published for item in event.updates if isinstance(item, kind)]
 
     async def test_all_pages_are_read_and_then_every_change(self):
         for number in range(120):
@@ -129,9 +129,10 @@
         last = next(
             index
             for index, event in enumerate(self.seen)
-            if isinstance(event, PublishedNews)
+            if isinstance(event, PublishedUpdates)
             and any(
-                isinstance(n, UpstreamSeen) and n.record.upstream_id == "last" for n in event.news
+                isinstance(n, UpstreamSeen) and n.record.upstream_id == "last"
+                for n in event.updates
             )
         )
         self.assertLess(self.seen_s[last] - self.seen_s[first], 1.0)
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/test_store_relay.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/test_store_relay.py
@@ -4,7 +4,7 @@
 from random import Random
 from unittest import IsolatedAsyncioTestCase
 
-from geraniumlead.forwarding import ConfigurationSeen, PublishedNews, StoreLost, UpstreamSeen
+from geraniumlead.forwarding import ConfigurationSeen, PublishedUpdates, StoreLost, UpstreamSeen
 from geraniumlead.peering import StoreNews, decode_peering, encode_peering
 from geraniumlead_server.platform import StoreClient
 from geraniumlead_server.store_duty import StoreDuty
@@ -60,8 +60,8 @@
             self.reader.take_relayed(message, WATCHER)
 
     def known(self) -> set[str]:
-        published = [event for event in self.seen if isinstance(event, PublishedNews)]
-        items = [item for event in published for item in event.news]
+        published = [event for event in self.seen if isinstance(event, PublishedUpdates)]
+        items = [item for event in published for item in event.updates]
         return {item.record.upstream_id for item in items if isinstance(item, UpstreamSeen)}
 
     async def put_and_wait(self, name: str) -> float:
@@ -80,12 +80,12 @@
 
     async def test_heartbeats_are_not_passed_on(self):
         await self.put_and_wait("i-1")
-        before = len([event for event in self.seen if event.news])
+        before = len([event for event in self.seen if event.updates])
         for number in range(20):
             self.store.put("servers/i-1", self.entry | {"seq": number})
             await asyncio.sleep(0.02)
         await self.put_and_wait("i-2")
-        self.assertEqual(before + 1, len([event for event in self.seen if event.news]))
+        self.assertEqual(before + 1, len([event for event in self.seen if event.updates]))
 
     async def test_a_reader_asks_itself_when_the_watchers_are_silent(self):
         """The watchers freeze or are cut off, and then an upstream begins to leave.
@@ -140,7 +140,7 @@
         )
         for number in range(3):
             await self.put_and_wait(f"more-{number}")
-        news = [e for e in lost if isinstance(e, PublishedNews) for _ in e.news]
+        news = [e for e in lost if isinstance(e, PublishedUpdates) for _ in e.updates]
         self.assertGreaterEqual(len(news), 3)
         self.assertLessEqual(len([e for e in lost if isinstance(e, StoreLost)]), 2)
 
@@ -150,7 +150,7 @@
         await asyncio.sleep(0.3)
         self.store.status = None
         await self.put_and_wait("i-2")
-        told = [e for e in self.seen if isinstance(e, PublishedNews) and e.is_after_outage]
+        told = [e for e in self.seen if isinstance(e, PublishedUpdates) and e.is_after_outage]
         self.assertTrue(told)
 
     async def test_a_reader_that_is_behind_an_outage_holds_what_lapsed_as_well(self):
@@ -168,7 +168,9 @@
         async with asyncio.timeout(LONGEST_WAIT_S):
             while "i-2" not in self.known():
                 await asyncio.sleep(0.01)
-        self.assertTrue(any(e.is_after_outage for e in self.seen if isinstance(e, PublishedNews)))
+        self.assertTrue(
+            any(e.is_after_outage for e in self.seen if isinstance(e, PublishedUpdates))
+        )
 
     async def test_what_is_too_large_to_pass_on_is_read_at_once(self):
         """A large configuration comes; passed on to ten readers it would fill a slow link."""
@@ -184,6 +186,6 @@
         return [
             item
             for event in self.seen
-            for item in event.news
+            for item in event.updates
             if isinstance(item, ConfigurationSeen)
         ]
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/fleet_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/fleet_run.py
@@ -12,7 +12,7 @@
     ForwardingAction,
     MergedReply,
     PeerHeard,
-    PublishedNews,
+    PublishedUpdates,
     RequestArrived,
     SendReply,
     StartAttempt,
@@ -75,7 +75,7 @@
         news = (ConfigurationSeen(load.build_configuration()),)
         news += tuple(UpstreamSeen(record_of(model)) for model in models)
         for instance in self.instances:
-            instance.take(PublishedNews(news, is_snapshot=True), 0.0)
+            instance.take(PublishedUpdates(news, is_snapshot=True), 0.0)
         dead = load.choose_dead(Random(f"{seed}/dead"))
         if load.fault is not None:
             self._queue.add(load.fault.from_ms, lambda: self._kill(dead))
@@ -121,7 +121,7 @@
             body=b"",
             arrived_ms=now_ms,
             wait_ms=kind.wait_ms,
-            way_ms=0.0,
+            caller_rtt_ms=0.0,
         )
         self.instances[number].take(RequestArrived(request), self._load.costs.query_ms)
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/ablation.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/ablation.py
@@ -5,10 +5,10 @@
 from unittest.mock import patch
 
 from geraniumlead.forwarding import late_clock, upstream_chooser
-from geraniumlead.forwarding.leg_sender import LegSender
 from geraniumlead.forwarding.open_request import OpenRequest
+from geraniumlead.forwarding.subrequest_sender import SubrequestSender
 from geraniumlead.forwarding.upstream_estimate import UpstreamEstimate
-from geraniumlead.forwarding.waiting_legs import WaitingLegs
+from geraniumlead.forwarding.waiting_subrequests import WaitingSubrequests
 from geraniumlead_standins.bench.forwarding_bound.forwarder_run import ForwarderRun
 from geraniumlead_standins.bench.forwarding_bound.load_model import LoadModel
 
@@ -17,7 +17,7 @@
 VARIANTS: dict[str, Callable[[], AbstractContextManager]] = {
     "all on": nullcontext,
     "no second sending of late parts": lambda: patch.object(
-        LegSender, "repeat_late", lambda self, opened, now_ms: None
+        SubrequestSender, "repeat_late", lambda self, opened, now_ms: None
     ),
     "no bound on lateness by the usual time": lambda: patch.object(
         late_clock, "MOST_LATE_FACTOR", NEVER
@@ -35,13 +35,13 @@
         upstream_chooser, "REGION_HANDICAP_MS", 0.0
     ),
     "no jitter": lambda: patch.object(upstream_chooser, "JITTER_SHARE", 0.0),
-    "no wait for a place": lambda: patch.object(WaitingLegs, "add", lambda self, leg: False),
+    "no wait for a place": lambda: patch.object(WaitingSubrequests, "add", lambda self, leg: False),
     "no end at the goal": lambda: patch.object(OpenRequest, "has_enough", property(_has_all)),
 }
 
 
 def _has_all(opened: OpenRequest) -> bool:
-    return opened.answered == len(opened.legs)
+    return opened.answered == len(opened.subrequests)
 
 
 def run_ablation(loads: Sequence[LoadModel], seeds: Iterable[int]) -> None:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/forwarder_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/forwarder_run.py
@@ -13,7 +13,7 @@
     Forwarder,
     ForwardingSettings,
     MergedReply,
-    PublishedNews,
+    PublishedUpdates,
     RequestArrived,
     SendReply,
     StartAttempt,
@@ -132,11 +132,11 @@
                 body=b"",
                 arrived_ms=at_ms,
                 wait_ms=WAIT_GOALS * self._load.goal_ms,
-                way_ms=0.0,
+                caller_rtt_ms=0.0,
             )
         )
 
-    def _news(self) -> PublishedNews:
+    def _news(self) -> PublishedUpdates:
         load = self._load
         route = Route(
             name="all",
@@ -160,4 +160,4 @@
             )
             for u in self._upstreams.values()
         ]
-        return PublishedNews((ConfigurationSeen(configuration), *records), is_snapshot=True)
+        return PublishedUpdates((ConfigurationSeen(configuration), *records), is_snapshot=True)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/__init__.py
@@ -12,7 +12,7 @@
     CallerLeft,
     ForwardingEvent,
     PeerHeard,
-    PublishedNews,
+    PublishedUpdates,
     ReplyWritten,
     RequestArrived,
     StoreLost,
@@ -20,12 +20,6 @@
 )
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
 from geraniumlead.forwarding.forwarder import Forwarder
-from geraniumlead.forwarding.news import (
-    ConfigurationSeen,
-    EvacuationSeen,
-    UpstreamSeen,
-    UpstreamWithdrawn,
-)
 from geraniumlead.forwarding.replies import MergedReply, OwnReply, RelayedReply, Reply
 from geraniumlead.forwarding.results import (
     AttemptResult,
@@ -34,6 +28,12 @@
     NotReached,
     PossiblyExecuted,
 )
+from geraniumlead.forwarding.updates import (
+    ConfigurationSeen,
+    EvacuationSeen,
+    UpstreamSeen,
+    UpstreamWithdrawn,
+)
 from geraniumlead.settings.forwarding_settings import ForwardingSettings
 
 __all__ = [
@@ -56,7 +56,7 @@
     "OwnReply",
     "PeerHeard",
     "PossiblyExecuted",
-    "PublishedNews",
+    "PublishedUpdates",
     "RelayedReply",
     "Reply",
     "ReplyWritten",
--- a/packages/geraniumlead/src/geraniumlead/forwarding/gatherers.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/aggregator_chooser.py
@@ -43,7 +43,7 @@
 """Time between two looks at all peers: in a fleet of thousands one takes milliseconds."""
 
 
-class Gatherers:
+class AggregatorChooser:
     """Rank the instances of each data centre for each block, and choose among the first.
 
     Load pattern: hundreds of instances each see a query each few seconds, over a hundred shards.
--- a/packages/geraniumlead/src/geraniumlead/forwarding/closing.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/closing.py
@@ -23,7 +23,7 @@
             pass
         case _:
             # A split route without any weight has no leg.
-            for leg in opened.legs:
+            for leg in opened.subrequests:
                 found = leg.answer or leg.failed_answer
                 if found is not None:
                     return RelayedReply(found)
@@ -34,7 +34,7 @@
 
 
 def _merge(opened: OpenRequest, record_count: int) -> MergedReply:
-    answers = [leg.answer for leg in opened.legs if leg.answer is not None]
+    answers = [leg.answer for leg in opened.subrequests if leg.answer is not None]
     signatures = tuple(answer.signature for answer in answers if answer.signature)
     records = merge_greatest((answer.body for answer in answers), record_count)
-    return MergedReply(signatures, len(opened.legs) - len(answers), records)
+    return MergedReply(signatures, len(opened.subrequests) - len(answers), records)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/crash_refusal.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/crash_refusal.py
@@ -2,7 +2,7 @@
 
 from geraniumlead.forwarding.actions import ForwardingAction, LogDecision, SendReply
 from geraniumlead.forwarding.closing import UNAVAILABLE
-from geraniumlead.forwarding.crash_book import QUARANTINE_MS
+from geraniumlead.forwarding.crash_tracker import QUARANTINE_MS
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
 from geraniumlead.forwarding.replies import OwnReply
 from geraniumlead.routes import Route
--- a/packages/geraniumlead/src/geraniumlead/forwarding/crash_book.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/crash_tracker.py
@@ -24,7 +24,7 @@
     until_ms: float = 0.0
 
 
-class CrashBook:
+class CrashTracker:
     """Count lost connections by the fingerprint of the request that was on them.
 
     Load pattern: one request crashes each upstream that begins to run it, and its caller
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegate_desk.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegated_request_registry.py
@@ -7,7 +7,7 @@
 from geraniumlead.routes import FanOut
 
 
-class DelegateDesk:
+class DelegatedRequestRegistry:
     """Tie each request of a peer to a key of its own, and turn its end into a message.
 
     Keys of peers' requests are negative, so they never meet those of callers.
@@ -58,7 +58,9 @@
         del self._keys[(sender_id, number)]
         places = _places(opened)
         tried = tuple(
-            (places[leg.service], tuple(leg.sent_to)) for leg in opened.legs if leg.answer is None
+            (places[leg.service], tuple(leg.sent_to))
+            for leg in opened.subrequests
+            if leg.answer is None
         )
         return sender_id, self._reply(number, opened, is_final=True, tried=tried)
 
@@ -69,7 +71,9 @@
 
     def _reply(self, number: int, opened: OpenRequest, **fields) -> DelegatedReply:
         """Return a message with the answers that no earlier one had."""
-        answered = [leg for leg in opened.legs if leg.answer is not None and not leg.is_reported]
+        answered = [
+            leg for leg in opened.subrequests if leg.answer is not None and not leg.is_reported
+        ]
         for leg in answered:
             leg.is_reported = True
         target = opened.route.target
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegated_legs.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegated_subrequests.py
@@ -4,38 +4,38 @@
 
 from geraniumlead.fleet import UpstreamRecord
 from geraniumlead.forwarding.actions import ForwardingAction, PeerReply
-from geraniumlead.forwarding.delegate_desk import DelegateDesk
+from geraniumlead.forwarding.delegated_request_registry import DelegatedRequestRegistry
 from geraniumlead.forwarding.delegation_plan import DelegationPlan
 from geraniumlead.forwarding.delegations import Delegation, Delegations, Lateness
-from geraniumlead.forwarding.leg_sender import LegSender
-from geraniumlead.forwarding.open_request import Leg, OpenRequest
+from geraniumlead.forwarding.open_request import OpenRequest, Subrequest
 from geraniumlead.forwarding.results import Completed
+from geraniumlead.forwarding.subrequest_sender import SubrequestSender
 from geraniumlead.peering import DelegatedReply, PeerContact
 
 OK = 200
 
 
-class DelegatedLegs:
+class DelegatedSubrequests:
     """Tie the shards that peers ask to the requests here, in both directions."""
 
-    __slots__ = ("_actions", "_legs", "_plan", "delegations", "desk")
+    __slots__ = ("_actions", "_legs", "_plan", "delegations", "registry")
 
     def __init__(
         self,
         plan: DelegationPlan,
-        legs: LegSender,
+        legs: SubrequestSender,
         actions: list[ForwardingAction],
         own_contact: PeerContact,
     ) -> None:
         self._plan = plan
         self.delegations = Delegations(own_contact)
-        self.desk = DelegateDesk()
+        self.registry = DelegatedRequestRegistry()
         self._legs = legs
         self._actions = actions
 
     def pass_on(
-        self, opened: OpenRequest, chosen: list[tuple[Leg, UpstreamRecord]], now_ms: float
-    ) -> list[tuple[Leg, UpstreamRecord]]:
+        self, opened: OpenRequest, chosen: list[tuple[Subrequest, UpstreamRecord]], now_ms: float
+    ) -> list[tuple[Subrequest, UpstreamRecord]]:
         """Pass shards to the peers that are to ask them; return the others."""
         if not opened.is_fan_out:
             return chosen
@@ -97,12 +97,12 @@
         """
         if not opened.is_reported:
             opened.is_reported = True
-            sender_id, message = self.desk.report(opened)
+            sender_id, message = self.registry.report(opened)
             self._actions.append(PeerReply(sender_id, message))
 
     def reply(self, opened: OpenRequest) -> str:
         """Bring a peer the rest of its request, which ends; return the peer's name."""
-        sender_id, message = self.desk.take_reply(opened)
+        sender_id, message = self.registry.take_reply(opened)
         self._actions.append(PeerReply(sender_id, message))
         return sender_id
 
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegation_plan.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegation_plan.py
@@ -7,8 +7,8 @@
 from random import Random
 
 from geraniumlead.fleet import FleetView, UpstreamRecord
-from geraniumlead.forwarding.gatherers import Gatherers
-from geraniumlead.forwarding.open_request import Leg, OpenRequest
+from geraniumlead.forwarding.aggregator_chooser import AggregatorChooser
+from geraniumlead.forwarding.open_request import OpenRequest, Subrequest
 from geraniumlead.hashing import hash_text
 from geraniumlead.peering import KnownPeer, PeerDirectory
 from geraniumlead.routes import Route
@@ -32,7 +32,7 @@
     """Name a peer and the shards that it should ask."""
 
     peer: KnownPeer
-    legs: list[Leg]
+    legs: list[Subrequest]
 
 
 class DelegationPlan:
@@ -61,10 +61,13 @@
         self._fleet = fleet
         self._directory = directory
         self._random = random
-        self._gatherers = Gatherers(settings, directory, random)
+        self._gatherers = AggregatorChooser(settings, directory, random)
 
     def assign(
-        self, opened: OpenRequest, chosen: Sequence[tuple[Leg, UpstreamRecord]], now_ms: float
+        self,
+        opened: OpenRequest,
+        chosen: Sequence[tuple[Subrequest, UpstreamRecord]],
+        now_ms: float,
     ) -> list[Assignment]:
         """Return what peers should ask; the rest is asked from here.
 
@@ -73,8 +76,8 @@
         """
         if opened.request.is_delegated:
             return []
-        near: dict[str, list[Leg]] = {}
-        far: list[Leg] = []
+        near: dict[str, list[Subrequest]] = {}
+        far: list[Subrequest] = []
         for leg, upstream in chosen:
             if self._region_of(upstream.data_centre) == self._settings.region:
                 near.setdefault(upstream.data_centre, []).append(leg)
@@ -89,7 +92,7 @@
         return found
 
     def _assign_far(
-        self, opened: OpenRequest, legs: Sequence[Leg], now_ms: float
+        self, opened: OpenRequest, legs: Sequence[Subrequest], now_ms: float
     ) -> list[Assignment]:
         """Return the peer that should ask shards that are only elsewhere, and which.
 
@@ -111,7 +114,9 @@
                 return [Assignment(peer, groups[self._region_of(peer.contact.data_centre)])]
         return []
 
-    def _place_far(self, opened: OpenRequest, legs: Sequence[Leg]) -> dict[str, list[Leg]]:
+    def _place_far(
+        self, opened: OpenRequest, legs: Sequence[Subrequest]
+    ) -> dict[str, list[Subrequest]]:
         """Return, by data centre, the far shards that the region with most of them holds.
 
         One peer for all of them would be as late as an instance that asks a whole index.
@@ -121,7 +126,7 @@
             return {}
         most = max(map(len, groups.values()))
         region = self._random.choice([name for name, legs in groups.items() if len(legs) == most])
-        placed: dict[str, list[Leg]] = {}
+        placed: dict[str, list[Subrequest]] = {}
         for leg in groups[region]:
             data_centre = min(
                 record.data_centre
@@ -132,7 +137,7 @@
         return placed
 
     def _assign_blocks(
-        self, opened: OpenRequest, legs_by_place: dict[str, list[Leg]], now_ms: float
+        self, opened: OpenRequest, legs_by_place: dict[str, list[Subrequest]], now_ms: float
     ) -> list[Assignment]:
         """Return the peers that should ask blocks of shards beside their upstreams.
 
@@ -155,7 +160,7 @@
         """Return how many shards of a query have an upstream in each data centre."""
         return Counter(
             data_centre
-            for leg in opened.legs
+            for leg in opened.subrequests
             for data_centre in {record.data_centre for record in self._fleet.usable(leg.service)}
         )
 
@@ -163,9 +168,11 @@
         records = self._fleet.usable(service)
         return any(self._region_of(r.data_centre) == self._settings.region for r in records)
 
-    def _group_by_region(self, legs: Iterable[Leg], route: Route) -> dict[str, list[Leg]]:
+    def _group_by_region(
+        self, legs: Iterable[Subrequest], route: Route
+    ) -> dict[str, list[Subrequest]]:
         """Return the shards that have an upstream in each of the other regions."""
-        groups: dict[str, list[Leg]] = {}
+        groups: dict[str, list[Subrequest]] = {}
         for leg in legs:
             for region in sorted(self._regions_of(leg.service, route)):
                 groups.setdefault(region, []).append(leg)
@@ -186,9 +193,9 @@
         return self._settings.regions.get(data_centre)
 
 
-def _blocks_of(legs: Iterable[Leg], count: int) -> dict[str, list[Leg]]:
+def _blocks_of(legs: Iterable[Subrequest], count: int) -> dict[str, list[Subrequest]]:
     """Return shards by the name of their block, which is one of ``count``."""
-    blocks: dict[str, list[Leg]] = {}
+    blocks: dict[str, list[Subrequest]] = {}
     for leg in legs:
         blocks.setdefault(f"{hash_text(leg.service) % count}/{count}", []).append(leg)
     return blocks
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegations.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegations.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from geraniumlead.forwarding.gatherers import LEAST_GOAL_LEFT_MS, MOST_TAKEN_GOAL_SHARE
-from geraniumlead.forwarding.open_request import Leg, OpenRequest
+from geraniumlead.forwarding.aggregator_chooser import LEAST_GOAL_LEFT_MS, MOST_TAKEN_GOAL_SHARE
+from geraniumlead.forwarding.open_request import OpenRequest, Subrequest
 from geraniumlead.forwarding.own_delay import DelaySamples
 from geraniumlead.forwarding.wake_times import WakeTimes
 from geraniumlead.peering import (
@@ -57,7 +57,7 @@
 
     number: int
     opened: OpenRequest
-    legs: list[Leg]
+    legs: list[Subrequest]
     peer: KnownPeer
     due_ms: float
     report_ms: float
@@ -68,7 +68,7 @@
     was_extended: bool = False
     is_shared: bool = False
 
-    def leg_at(self, place: int) -> Leg | None:
+    def leg_at(self, place: int) -> Subrequest | None:
         """Return the shard at a place in the request to the peer; None when there is none."""
         return self.legs[place] if 0 <= place < len(self.legs) else None
 
@@ -96,7 +96,7 @@
         self._word_delay = DelaySamples()
 
     def start(
-        self, opened: OpenRequest, legs: list[Leg], peer: KnownPeer, now_ms: float
+        self, opened: OpenRequest, legs: list[Subrequest], peer: KnownPeer, now_ms: float
     ) -> PeerLetter:
         """Ask a peer to ask the shards."""
         self._next += 1
--- a/packages/geraniumlead/src/geraniumlead/forwarding/events.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/events.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
-from geraniumlead.forwarding.news import News
 from geraniumlead.forwarding.results import AttemptResult
+from geraniumlead.forwarding.updates import PublishedUpdate
 from geraniumlead.peering import PeeringMessage
 
 
@@ -31,14 +31,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PublishedNews:
+class PublishedUpdates:
     """The store was read: ``is_snapshot`` when everything that stands there is in ``news``.
 
     ``is_after_outage`` when another instance read it that had lost it shortly before; ``source``
     names that instance. ``age_ms`` is how long ago the store gave the answer, at the most.
     """
 
-    news: tuple[News, ...]
+    updates: tuple[PublishedUpdate, ...]
     is_snapshot: bool
     is_after_outage: bool = False
     age_ms: float = 0.0
@@ -76,7 +76,7 @@
     RequestArrived
     | CallerLeft
     | AttemptEnded
-    | PublishedNews
+    | PublishedUpdates
     | StoreLost
     | PeerHeard
     | ReplyWritten
--- a/packages/geraniumlead/src/geraniumlead/forwarding/extra_budget.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/extra_attempt_budget.py
@@ -10,7 +10,7 @@
 """Resolution of the window; forty steps in ten seconds."""
 
 
-class ExtraBudget:
+class ExtraAttemptBudget:
     """Count first and extra requests of one service over a sliding window.
 
     Load pattern: an upstream turns slow or fails, and every request to it wants a second
@@ -33,12 +33,12 @@
         """Take over this instance's part of the fixed slack."""
         self._slack = slack
 
-    def note_first(self, now_ms: float) -> None:
+    def record_first(self, now_ms: float) -> None:
         """Count a request that is sent for the first time."""
         self._step(now_ms)[1] += 1
         self._first += 1
 
-    def note_extra(self, now_ms: float) -> None:
+    def record_extra(self, now_ms: float) -> None:
         """Count a request that is sent once more."""
         self._step(now_ms)[2] += 1
         self._extra += 1
--- a/packages/geraniumlead/src/geraniumlead/forwarding/extra_budgets.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/extra_attempt_budgets.py
@@ -1,6 +1,6 @@
 """Hold the budget of extra requests of every service."""
 
-from geraniumlead.forwarding.extra_budget import ExtraBudget
+from geraniumlead.forwarding.extra_attempt_budget import ExtraAttemptBudget
 from geraniumlead.settings.forwarding_settings import ForwardingSettings
 
 SAFE_SLACK_PART = 0.8
@@ -15,7 +15,7 @@
 still be answered, a failed one not."""
 
 
-class ExtraBudgets:
+class ExtraAttemptBudgets:
     """Count first and extra requests by service."""
 
     __slots__ = ("_budgets", "_instances", "_settings")
@@ -23,7 +23,7 @@
     def __init__(self, settings: ForwardingSettings) -> None:
         self._settings = settings
         self._instances = 1
-        self._budgets: dict[str, ExtraBudget] = {}
+        self._budgets: dict[str, ExtraAttemptBudget] = {}
 
     def set_instances(self, count: int) -> None:
         """Divide the slack anew."""
@@ -37,9 +37,9 @@
             self._settings = settings
             self._budgets.clear()
 
-    def note_first(self, service: str, now_ms: float) -> None:
+    def record_first(self, service: str, now_ms: float) -> None:
         """Count a request that goes to a service for the first time."""
-        self._of(service).note_first(now_ms)
+        self._of(service).record_first(now_ms)
 
     def may_repeat_failed(self, service: str, now_ms: float) -> bool:
         """Return whether a failed request may be sent again."""
@@ -55,15 +55,17 @@
         budget = self._of(service)
         return budget.left(now_ms) >= 1.0 and budget.left_share(now_ms) >= PLENTY_SHARE
 
-    def note_extra(self, service: str, now_ms: float) -> None:
+    def record_extra(self, service: str, now_ms: float) -> None:
         """Count a request that is sent again."""
-        self._of(service).note_extra(now_ms)
+        self._of(service).record_extra(now_ms)
 
-    def _of(self, service: str) -> ExtraBudget:
+    def _of(self, service: str) -> ExtraAttemptBudget:
         budget = self._budgets.get(service)
         if budget is None:
             settings = self._settings
-            budget = ExtraBudget(settings.extra_share, self._slack(), settings.extra_window_ms)
+            budget = ExtraAttemptBudget(
+                settings.extra_share, self._slack(), settings.extra_window_ms
+            )
             self._budgets[service] = budget
         return budget
 
--- a/packages/geraniumlead/src/geraniumlead/forwarding/forwarded_request.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/forwarded_request.py
@@ -27,7 +27,7 @@
     body: bytes
     arrived_ms: float
     wait_ms: float | None
-    way_ms: float = 0.0
+    caller_rtt_ms: float = 0.0
     goal_left_ms: float | None = None
     shards: tuple[str, ...] = ()
 
--- a/packages/geraniumlead/src/geraniumlead/forwarding/forwarder.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/forwarder.py
@@ -10,14 +10,14 @@
     CallerLeft,
     ForwardingEvent,
     PeerHeard,
-    PublishedNews,
+    PublishedUpdates,
     ReplyWritten,
     RequestArrived,
     StoreLost,
     TimePassed,
 )
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
-from geraniumlead.forwarding.peer_desk import PeerDesk
+from geraniumlead.forwarding.peer_message_handler import PeerMessageHandler
 from geraniumlead.forwarding.published_state import PublishedState
 from geraniumlead.forwarding.replies import OwnReply
 from geraniumlead.forwarding.request_runner import RequestRunner
@@ -63,7 +63,7 @@
             settings, fleet, random, self._retry_after, self._actions, directory
         )
         self.published = PublishedState(fleet, self._runner.chooser, self._actions)
-        self._peers = PeerDesk(directory, self._runner, self.published, self._actions)
+        self._peers = PeerMessageHandler(directory, self._runner, self.published, self._actions)
         self.store_watch = StoreWatch(directory, settings.data_centre, settings.regions)
         self.is_stopping = False
         self._is_cut_off = False
@@ -97,7 +97,7 @@
                 self._runner.drop(key, now_ms)
             case AttemptEnded(attempt_id=attempt_id, result=result):
                 self._runner.finish_attempt(attempt_id, result, now_ms)
-            case PublishedNews():
+            case PublishedUpdates():
                 self.published.take(event, now_ms)
             case StoreLost(detail=detail):
                 self.published.note_lost(detail, now_ms)
@@ -134,7 +134,7 @@
 
     def _look_around(self, now_ms: float) -> None:
         """Notice when this instance is cut off from all upstreams, and when that ends."""
-        is_cut_off = self._runner.is_cut_off(now_ms)
+        is_cut_off = self._runner.is_isolated(now_ms)
         if is_cut_off != self._is_cut_off:
             self._is_cut_off = is_cut_off
             self._actions.append(LogDecision("cut_off", {"is_cut_off": is_cut_off}, "warning"))
--- a/packages/geraniumlead/src/geraniumlead/forwarding/cut_off_watch.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/isolation_detector.py
@@ -3,7 +3,7 @@
 LEAST_UNREACHED = 3
 """Upstreams to which connections have to fail: one or two may have lost power themselves."""
 
-CUT_OFF_MS = 500.0
+ISOLATED_AFTER_MS = 500.0
 """Time without any answer from anywhere after which this instance counts as cut off. One that
 serves callers gets an answer about every ten milliseconds."""
 
@@ -14,7 +14,7 @@
 """Time between two requests that are sent all the same while it is cut off."""
 
 
-class CutOffWatch:
+class IsolationDetector:
     """Count the upstreams that cannot be reached since the last answer from any of them.
 
     Load pattern: an instance loses its way to all upstreams, and callers still reach it. It
@@ -43,16 +43,16 @@
         self._unreached_ids.add(upstream_id)
         self._failed_ms = now_ms
 
-    def is_cut_off(self, now_ms: float) -> bool:
+    def is_isolated(self, now_ms: float) -> bool:
         """Return whether connections fail, and for a while nothing came from anywhere."""
         if len(self._unreached_ids) < LEAST_UNREACHED:
             return False
-        is_quiet = now_ms - self._answered_ms >= CUT_OFF_MS
+        is_quiet = now_ms - self._answered_ms >= ISOLATED_AFTER_MS
         return is_quiet and now_ms - self._failed_ms < LOOK_AGAIN_MS
 
     def is_useless(self, now_ms: float) -> bool:
         """Return whether a request would only wait; False for one that is to look."""
-        if not self.is_cut_off(now_ms):
+        if not self.is_isolated(now_ms):
             return False
         if now_ms - self._probed_ms >= PROBE_MS:
             self._probed_ms = now_ms
--- a/packages/geraniumlead/src/geraniumlead/forwarding/late_clock.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/late_clock.py
@@ -58,7 +58,7 @@
         """Learn from an answer, or from a late attempt that was cancelled."""
         self._clock.record(route.name, latency_ms, now_ms)
 
-    def usual_ms(self, route: Route, now_ms: float) -> float:
+    def median_latency_ms(self, route: Route, now_ms: float) -> float:
         """Return the median of the route's attempts, without the way."""
         found_ms = self._clock.delay_ms(route.name, 0.5, now_ms)
         return found_ms or UNKNOWN_USUAL_GOAL_SHARE * route.latency_goal_ms
@@ -75,21 +75,21 @@
         With a short budget the second attempt waits for its last chance: most of what is a
         little late is ordinary work and still comes.
         """
-        route = attempt.leg.request.route
+        route = attempt.subrequest.request.route
         found_ms = self._clock.delay_ms(route.name, LATE_SHARE, now_ms)
         second_share = SECOND_SHARE if has_plenty else LAST_CHANCE_SHARE
         second_ms = self._clock.delay_ms(route.name, 1.0 - second_share, now_ms)
         if found_ms is None or second_ms is None:
             share = UNKNOWN_LATE_GOAL_SHARE if has_plenty else UNKNOWN_LAST_GOAL_SHARE
             return share * route.latency_goal_ms
-        usual_ms = self.usual_ms(route, now_ms)
-        late_ms = attempt.way_ms + min(found_ms, MOST_LATE_FACTOR * usual_ms)
-        latest_ms = goal_left_ms - attempt.second_way_ms - second_ms
+        usual_ms = self.median_latency_ms(route, now_ms)
+        late_ms = attempt.relative_rtt_ms + min(found_ms, MOST_LATE_FACTOR * usual_ms)
+        latest_ms = goal_left_ms - attempt.second_relative_rtt_ms - second_ms
         if latest_ms <= 0.0:
             return late_ms
         if not has_plenty:
             return max(late_ms, latest_ms)
-        least_ms = attempt.way_ms + LEAST_LATE_FACTOR * usual_ms
+        least_ms = attempt.relative_rtt_ms + LEAST_LATE_FACTOR * usual_ms
         return max(min(late_ms, latest_ms), least_ms)
 
     def times_of(
@@ -104,7 +104,7 @@
             # The peer that passed it here has taken its margins from both.
             return request.arrived_ms + request.goal_left_ms, request.arrived_ms + wait_ms
         end_ms = request.arrived_ms + max(0.0, wait_ms - END_MARGIN_MS)
-        return self._goal_ms(route, request) - request.way_ms - margin_ms, end_ms
+        return self._goal_ms(route, request) - request.caller_rtt_ms - margin_ms, end_ms
 
     def _goal_ms(self, route: Route, request: ForwardedRequest) -> float:
         """Return until when the caller should have its answer, on the monotonic clock.
--- a/packages/geraniumlead/src/geraniumlead/forwarding/open_request.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/open_request.py
@@ -19,16 +19,16 @@
     """
 
     attempt_id: int
-    leg: "Leg"
+    subrequest: "Subrequest"
     upstream: UpstreamRecord
     sent_ms: float
-    way_ms: float
-    second_way_ms: float
+    relative_rtt_ms: float
+    second_relative_rtt_ms: float
     is_overdue: bool = False
 
 
 @dataclass(slots=True)
-class Leg:
+class Subrequest:
     """The part of a request that goes to one service: all of it, or one shard.
 
     ``sent_to`` holds an entry for each sending that may have arrived, also those of a peer;
@@ -70,11 +70,11 @@
     end_ms: float
     margin_ms: float = 0.0
     view_age_ms: float | None = None
-    legs: list[Leg] = field(default_factory=list)
+    subrequests: list[Subrequest] = field(default_factory=list)
     check_ms: float = float("inf")
     settled: int = 0
     answered: int = 0
-    extra: int = 0
+    extra_attempts: int = 0
     delegations: set[int] = field(default_factory=set)
     is_reported: bool = False
     is_shared: bool = False
@@ -104,15 +104,17 @@
     @property
     def is_hopeless(self) -> bool:
         """Return whether too many legs failed."""
-        possible = len(self.legs) - (self.settled - self.answered)
+        possible = len(self.subrequests) - (self.settled - self.answered)
         return possible < self.least_answers
 
     @property
     def first_failure(self) -> str:
         """Return why the first of the failed legs failed."""
-        return next((leg.failure for leg in self.legs if leg.failure is not None), "unanswered")
+        return next(
+            (leg.failure for leg in self.subrequests if leg.failure is not None), "unanswered"
+        )
 
-    def settle_answered(self, leg: Leg, answer: Completed) -> None:
+    def settle_answered(self, leg: Subrequest, answer: Completed) -> None:
         """Take over a leg's answer, in place of any that it has."""
         if not leg.is_settled:
             self.settled += 1
@@ -120,13 +122,13 @@
             self.answered += 1
         leg.answer, leg.failure = answer, None
 
-    def settle_failed(self, leg: Leg, why: str, now_ms: float) -> None:
+    def settle_failed(self, leg: Subrequest, why: str, now_ms: float) -> None:
         """Give a leg up."""
         leg.failure = why
         self.settled += 1
         self.note(leg, None, why, now_ms)
 
-    def note(self, leg: Leg, upstream_id: str | None, what: str, now_ms: float) -> None:
+    def note(self, leg: Subrequest, upstream_id: str | None, what: str, now_ms: float) -> None:
         """Remember a step that was out of the ordinary, for the log."""
         if len(self.notes) >= MOST_NOTES:
             return
@@ -138,7 +140,7 @@
     @property
     def may_have_run(self) -> bool:
         """Return whether any upstream may have run any part of it."""
-        return any(leg.may_have_run for leg in self.legs)
+        return any(leg.may_have_run for leg in self.subrequests)
 
 
 def least_count(shards: int, least_share: float) -> int:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/peer_desk.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
@@ -30,7 +30,7 @@
 as gone only after seconds."""
 
 
-class PeerDesk:
+class PeerMessageHandler:
     """Keep in touch with peers, and serve what they ask for."""
 
     __slots__ = ("_actions", "_count_due_ms", "_counted", "_published", "_runner", "directory")
@@ -124,14 +124,14 @@
             self._actions.append(PeerReply(sender_id, declined))
             return
         self._actions.append(PeerReply(sender_id, DelegationTaken(message.number)))
-        request = self._runner.delegated.desk.accept(sender_id, message, now_ms)
+        request = self._runner.delegated.registry.accept(sender_id, message, now_ms)
         self._runner.start(request, route, configuration, now_ms)
 
     def _follow_sender(
         self, sender_id: str, message: DelegationCancelled | DelegationShared, now_ms: float
     ) -> None:
         """Take in what becomes of a request that is served for a peer."""
-        desk = self._runner.delegated.desk
+        desk = self._runner.delegated.registry
         match message:
             case DelegationCancelled(number=number):
                 key = desk.take_key(sender_id, number)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/published_state.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/published_state.py
@@ -4,8 +4,8 @@
 
 from geraniumlead.fleet import FleetView, UpstreamRecord
 from geraniumlead.forwarding.actions import ForwardingAction, LogDecision
-from geraniumlead.forwarding.events import PublishedNews
-from geraniumlead.forwarding.news import (
+from geraniumlead.forwarding.events import PublishedUpdates
+from geraniumlead.forwarding.updates import (
     ConfigurationSeen,
     EvacuationSeen,
     UpstreamSeen,
@@ -75,13 +75,13 @@
         """Return how old the view is at the most; None before the first reading."""
         return self._fleet.age_ms(now_ms)
 
-    def take(self, event: PublishedNews, now_ms: float) -> None:
+    def take(self, event: PublishedUpdates, now_ms: float) -> None:
         """Take over what was read."""
         self._note_answered(now_ms)
         self._fleet.note_read(now_ms - event.age_ms)
         if event.is_after_outage:
             self._fleet.note_platform_returned(now_ms)
-        for item in event.news:
+        for item in event.updates:
             match item:
                 case ConfigurationSeen(configuration=configuration):
                     self._take_configuration(configuration, now_ms)
@@ -95,7 +95,7 @@
                     self._set_evacuated(self._fleet.evacuated - {name}, now_ms)
         if event.is_snapshot:
             self._drop_missing(event, now_ms)
-        if event.news:
+        if event.updates:
             self._log_reading(event)
 
     def note_lost(self, detail: str, now_ms: float) -> None:
@@ -178,18 +178,20 @@
             if record.data_centre in data_centres and service is not None:
                 self._chooser.cold.note_cold(upstream_id, service.cold_ms, now_ms)
 
-    def _drop_missing(self, event: PublishedNews, now_ms: float) -> None:
-        listed = {item.record.upstream_id for item in event.news if isinstance(item, UpstreamSeen)}
+    def _drop_missing(self, event: PublishedUpdates, now_ms: float) -> None:
+        listed = {
+            item.record.upstream_id for item in event.updates if isinstance(item, UpstreamSeen)
+        }
         for upstream_id in self._fleet.ids() - listed:
             self._withdraw(upstream_id, now_ms)
         evacuated = frozenset(
             item.data_centre
-            for item in event.news
+            for item in event.updates
             if isinstance(item, EvacuationSeen) and item.is_evacuated
         )
         self._set_evacuated(evacuated, now_ms)
 
-    def _log_reading(self, event: PublishedNews) -> None:
+    def _log_reading(self, event: PublishedUpdates) -> None:
         """Tell of a reading in one line, for those of single upstreams may be left out."""
         fields = {
             "source": event.source,
@@ -197,7 +199,7 @@
             "is_snapshot": event.is_snapshot,
             "version": None if self.configuration is None else self.configuration.version,
             "upstreams": len(self._fleet),
-            **Counter(_LOGGED_NAMES[type(item)] for item in event.news),
+            **Counter(_LOGGED_NAMES[type(item)] for item in event.updates),
         }
         self._log("published", fields)
 
--- a/packages/geraniumlead/src/geraniumlead/forwarding/data_centre_ways.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/relative_rtts.py
@@ -9,7 +9,7 @@
 """Guess for another region before any answer; today's are 16 and 40 ms away, there and back."""
 
 
-class DataCentreWays:
+class RelativeRtts:
     """Keep the least latency seen from each data centre in this and the last window.
 
     The least latency has next to no work or wait in it, so the difference between two data
@@ -37,7 +37,7 @@
             self._current[data_centre] = latency_ms
             self._ways_ms.clear()
 
-    def way_ms(self, data_centre: str) -> float:
+    def relative_rtt_ms(self, data_centre: str) -> float:
         """Return the time of the way there and back, beyond that to the nearest."""
         way_ms = self._ways_ms.get(data_centre)
         if way_ms is None:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/request_line.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/request_line.py
@@ -18,12 +18,12 @@
         "goal_left_ms": round(opened.goal_ms - now_ms, 1),
         "margin_ms": round(opened.margin_ms, 1),
         "reason": reason,
-        "legs": len(opened.legs),
+        "legs": len(opened.subrequests),
         "answered": opened.answered,
-        "extra": opened.extra,
+        "extra": opened.extra_attempts,
         "steps": opened.notes,
     }
-    missing = [leg.service for leg in opened.legs if leg.answer is None]
+    missing = [leg.service for leg in opened.subrequests if leg.answer is None]
     if missing:
         fields["missing"] = missing
     match reply:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
@@ -5,23 +5,23 @@
 
 from geraniumlead.fleet import FleetView
 from geraniumlead.forwarding.actions import ForwardingAction, LogDecision, SendReply
-from geraniumlead.forwarding.attempt_book import AttemptBook
+from geraniumlead.forwarding.attempt_tracker import AttemptTracker
 from geraniumlead.forwarding.closing import decide_reply
-from geraniumlead.forwarding.crash_book import CrashBook
 from geraniumlead.forwarding.crash_refusal import refuse_crashing
-from geraniumlead.forwarding.delegated_legs import DelegatedLegs
+from geraniumlead.forwarding.crash_tracker import CrashTracker
+from geraniumlead.forwarding.delegated_subrequests import DelegatedSubrequests
 from geraniumlead.forwarding.delegation_plan import DelegationPlan
 from geraniumlead.forwarding.delegations import Delegation
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
-from geraniumlead.forwarding.leg_sender import LegSender
-from geraniumlead.forwarding.open_request import Leg, OpenRequest
+from geraniumlead.forwarding.open_request import OpenRequest, Subrequest
 from geraniumlead.forwarding.own_delay import OwnDelay
 from geraniumlead.forwarding.request_line import describe_request
 from geraniumlead.forwarding.request_services import RequestServices
 from geraniumlead.forwarding.results import AttemptResult
 from geraniumlead.forwarding.retry_after import RetryAfter
+from geraniumlead.forwarding.subrequest_sender import SubrequestSender
 from geraniumlead.forwarding.upstream_chooser import UpstreamChooser
-from geraniumlead.forwarding.waiting_legs import LONGEST_WAIT_GOAL_SHARE
+from geraniumlead.forwarding.waiting_subrequests import LONGEST_WAIT_GOAL_SHARE
 from geraniumlead.forwarding.wake_times import NEVER_MS, WakeTimes
 from geraniumlead.peering import DelegatedReply, PeerDirectory
 from geraniumlead.routes import PublishedConfiguration, Route
@@ -62,11 +62,11 @@
         self._retry_after = retry_after
         self._actions = actions
         self._fleet = fleet
-        self._book = AttemptBook(settings, fleet, random, actions)
-        self.crashes = CrashBook()
-        self._legs = LegSender(self._book, self.crashes)
+        self._book = AttemptTracker(settings, fleet, random, actions)
+        self.crashes = CrashTracker()
+        self._legs = SubrequestSender(self._book, self.crashes)
         plan = DelegationPlan(settings, fleet, directory, random)
-        self.delegated = DelegatedLegs(plan, self._legs, actions, directory.own_contact)
+        self.delegated = DelegatedSubrequests(plan, self._legs, actions, directory.own_contact)
         self._open: dict[int, OpenRequest] = {}
         self._wakes = WakeTimes()
         self._services = RequestServices(random)
@@ -81,9 +81,9 @@
         """Return what chooses upstreams."""
         return self._book.chooser
 
-    def is_cut_off(self, now_ms: float) -> bool:
+    def is_isolated(self, now_ms: float) -> bool:
         """Return whether this instance is cut off from all upstreams."""
-        return self._book.cut_off.is_cut_off(now_ms)
+        return self._book.isolation.is_isolated(now_ms)
 
     def set_instances(self, count: int, live: Sequence[str]) -> None:
         """Take over how many instances share the limits of the fleet, and who lives of them."""
@@ -111,19 +111,19 @@
         goal_ms, end_ms = self._book.clock.times_of(request, route, margin_ms)
         view_age_ms = self._fleet.age_ms(now_ms)
         opened = OpenRequest(request, route, configuration, goal_ms, end_ms, margin_ms, view_age_ms)
-        opened.legs = [Leg(opened, service) for service in services]
+        opened.subrequests = [Subrequest(opened, service) for service in services]
         self._open[request.key] = opened
         chosen = self._legs.choose_all(opened, now_ms)
         if opened.is_hopeless:
-            self._legs.note_first(opened, now_ms)
+            self._legs.record_first(opened, now_ms)
             # Known before anything is sent, so this refusal is true and early.
             self._finish(opened, "no_upstream", now_ms)
             return
-        if not request.is_delegated and self._book.cut_off.is_useless(now_ms):
+        if not request.is_delegated and self._book.isolation.is_useless(now_ms):
             self._finish(opened, "unreachable", now_ms)
             return
         chosen = self.delegated.pass_on(opened, chosen, now_ms)
-        self._legs.note_first(opened, now_ms)
+        self._legs.record_first(opened, now_ms)
         for leg, upstream in chosen:
             self._book.send(leg, upstream, now_ms)
         self._go_on(opened, now_ms)
@@ -151,7 +151,7 @@
         attempt = self._book.take(attempt_id, result, now_ms)
         if attempt is None:
             return
-        leg = attempt.leg
+        leg = attempt.subrequest
         if not leg.is_settled:
             self._legs.take_result(attempt, result, now_ms)
         if not self._finish_if_done(leg.request, now_ms):
@@ -217,9 +217,9 @@
         """Return when a request of which nothing was sent yet is refused."""
         if opened.may_have_run or opened.delegations:
             return NEVER_MS
-        if not any(leg.is_waiting for leg in opened.legs):
+        if not any(leg.is_waiting for leg in opened.subrequests):
             return NEVER_MS
-        if any(leg.open_attempts for leg in opened.legs):
+        if any(leg.open_attempts for leg in opened.subrequests):
             return NEVER_MS
         goal_ms = opened.route.latency_goal_ms
         return opened.request.arrived_ms + LONGEST_WAIT_GOAL_SHARE * goal_ms
@@ -233,7 +233,7 @@
             due_ms = min(due_ms, self._legs.next_late_ms(opened, now_ms))
         self._look_at(opened, due_ms)
 
-    def _arm_leg(self, leg: Leg, now_ms: float) -> None:
+    def _arm_leg(self, leg: Subrequest, now_ms: float) -> None:
         """Set the time of the next look no later than one leg needs it.
 
         Failure: each answer of a query over 135 shards set the time anew from all its legs,
@@ -257,10 +257,14 @@
         if opened.request.key not in self._open:
             return True
         is_over_goal = opened.is_fan_out and now_ms >= opened.goal_ms
-        if is_over_goal and opened.request.is_delegated and opened.settled < len(opened.legs):
+        if (
+            is_over_goal
+            and opened.request.is_delegated
+            and opened.settled < len(opened.subrequests)
+        ):
             self.delegated.report(opened)
             return False
-        if opened.settled == len(opened.legs) or (is_over_goal and opened.has_enough):
+        if opened.settled == len(opened.subrequests) or (is_over_goal and opened.has_enough):
             self._finish(opened, "answered" if opened.has_enough else opened.first_failure, now_ms)
             return True
         if opened.is_hopeless:
@@ -271,7 +275,7 @@
     def _finish(self, opened: OpenRequest, reason: str, now_ms: float) -> None:
         del self._open[opened.request.key]
         # What is still out at the end may have run, so it is no longer "not run".
-        for leg in opened.legs:
+        for leg in opened.subrequests:
             leg.may_have_run = leg.may_have_run or bool(leg.open_attempts)
         self._cancel_all(opened, now_ms)
         if opened.request.is_delegated:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/leg_sender.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/subrequest_sender.py
@@ -3,9 +3,9 @@
 from collections.abc import Sequence
 
 from geraniumlead.fleet import UpstreamRecord
-from geraniumlead.forwarding.attempt_book import AttemptBook
-from geraniumlead.forwarding.crash_book import CrashBook
-from geraniumlead.forwarding.open_request import Attempt, Leg, OpenRequest
+from geraniumlead.forwarding.attempt_tracker import AttemptTracker
+from geraniumlead.forwarding.crash_tracker import CrashTracker
+from geraniumlead.forwarding.open_request import Attempt, OpenRequest, Subrequest
 from geraniumlead.forwarding.results import (
     AttemptResult,
     Completed,
@@ -13,7 +13,7 @@
     NotReached,
     PossiblyExecuted,
 )
-from geraniumlead.forwarding.waiting_legs import WaitingLegs
+from geraniumlead.forwarding.waiting_subrequests import WaitingSubrequests
 
 NEVER_MS = float("inf")
 
@@ -22,7 +22,7 @@
 while the latencies of its route are not known."""
 
 
-class LegSender:
+class SubrequestSender:
     """Decide for each part of a request whether, when and where it is sent (again).
 
     A part that may have run is sent again only if its route allows repeats, and every second
@@ -31,15 +31,17 @@
 
     __slots__ = ("_book", "_crashes", "_waiting")
 
-    def __init__(self, book: AttemptBook, crashes: CrashBook) -> None:
+    def __init__(self, book: AttemptTracker, crashes: CrashTracker) -> None:
         self._book = book
         self._crashes = crashes
-        self._waiting = WaitingLegs()
+        self._waiting = WaitingSubrequests()
 
-    def choose_all(self, opened: OpenRequest, now_ms: float) -> list[tuple[Leg, UpstreamRecord]]:
+    def choose_all(
+        self, opened: OpenRequest, now_ms: float
+    ) -> list[tuple[Subrequest, UpstreamRecord]]:
         """Choose upstreams; parts without a place wait, those without any upstream fail."""
-        chosen: list[tuple[Leg, UpstreamRecord]] = []
-        for leg in opened.legs:
+        chosen: list[tuple[Subrequest, UpstreamRecord]] = []
+        for leg in opened.subrequests:
             upstream = None
             if not self._waiting.has(leg.service):
                 upstream = self._book.choose(leg, now_ms)
@@ -49,19 +51,19 @@
                 opened.settle_failed(leg, "no_upstream", now_ms)
         return chosen
 
-    def note_first(self, opened: OpenRequest, now_ms: float) -> None:
+    def record_first(self, opened: OpenRequest, now_ms: float) -> None:
         """Count the parts that are this instance's to send.
 
         Failure: a part that a peer asks was counted here and there. Both earned second
         sendings by it, and together they exceeded the bound of the service.
         """
-        for leg in opened.legs:
+        for leg in opened.subrequests:
             if not leg.is_delegated:
-                self._book.budgets.note_first(leg.service, now_ms)
+                self._book.budgets.record_first(leg.service, now_ms)
 
-    def send_waiting(self, service: str, now_ms: float) -> list[Leg]:
+    def send_waiting(self, service: str, now_ms: float) -> list[Subrequest]:
         """Use the places that have become free at a service; return the parts that were sent."""
-        sent: list[Leg] = []
+        sent: list[Subrequest] = []
         while (leg := self._waiting.take(service, now_ms)) is not None:
             upstream = self._book.choose(leg, now_ms)
             if upstream is None:
@@ -72,7 +74,9 @@
             sent.append(leg)
         return sent
 
-    def ask_again(self, opened: OpenRequest, legs: list[Leg], why: str, now_ms: float) -> None:
+    def ask_again(
+        self, opened: OpenRequest, legs: list[Subrequest], why: str, now_ms: float
+    ) -> None:
         """Ask shards from here that a peer did not bring.
 
         What the peer has sent counts against the route's number of upstreams: counted anew
@@ -84,7 +88,7 @@
             if upstream is None:
                 opened.settle_failed(leg, f"{why}, no upstream", now_ms)
             elif not leg.sent_to:
-                self._book.budgets.note_first(leg.service, now_ms)
+                self._book.budgets.record_first(leg.service, now_ms)
                 self._book.send(leg, upstream, now_ms)
             elif self._book.budgets.may_repeat_failed(leg.service, now_ms):
                 # The peer may have asked already, and only its word is late or lost.
@@ -92,7 +96,7 @@
             else:
                 opened.settle_failed(leg, f"{why}, no budget", now_ms)
 
-    def ask_beside(self, legs: list[Leg], is_overdue: bool, now_ms: float) -> None:
+    def ask_beside(self, legs: list[Subrequest], is_overdue: bool, now_ms: float) -> None:
         """Ask shards as well that a peer may still bring.
 
         Until the peer's reply is overdue only late parts' share of the budget is used: all of it
@@ -107,18 +111,18 @@
             if upstream is not None:
                 self._book.send_again(leg, upstream, "peer is late", now_ms)
 
-    def cancel_leg(self, leg: Leg, now_ms: float) -> None:
+    def cancel_leg(self, leg: Subrequest, now_ms: float) -> None:
         """Stop what is out for a shard that a peer has brought."""
         self._book.cancel(leg, now_ms)
 
-    def note_tried(self, leg: Leg, upstream_ids: Sequence[str | None]) -> None:
+    def note_tried(self, leg: Subrequest, upstream_ids: Sequence[str | None]) -> None:
         """Count what a peer has sent for a shard."""
         leg.sent_to += upstream_ids
         leg.tried.update(name for name in upstream_ids if name is not None)
 
     def take_result(self, attempt: Attempt, result: AttemptResult, now_ms: float) -> None:
         """Settle a part by the end of an attempt, or send it again."""
-        leg = attempt.leg
+        leg = attempt.subrequest
         opened = leg.request
         upstream_id = attempt.upstream.upstream_id
         match result:
@@ -157,7 +161,7 @@
         """Send again the parts whose only attempt is late."""
         if opened.is_shared:
             return
-        for leg in opened.legs:
+        for leg in opened.subrequests:
             if leg.is_settled or len(leg.open_attempts) != 1:
                 continue
             (attempt,) = leg.open_attempts.values()
@@ -173,9 +177,9 @@
 
     def next_late_ms(self, opened: OpenRequest, now_ms: float) -> float:
         """Return when the next attempt of a request is late."""
-        return min((self.late_at_ms(leg, now_ms) for leg in opened.legs), default=NEVER_MS)
+        return min((self.late_at_ms(leg, now_ms) for leg in opened.subrequests), default=NEVER_MS)
 
-    def late_at_ms(self, leg: Leg, now_ms: float) -> float:
+    def late_at_ms(self, leg: Subrequest, now_ms: float) -> float:
         """Return when the only attempt of a leg is late; never if it is late already."""
         if leg.is_settled or len(leg.open_attempts) != 1:
             return NEVER_MS
@@ -185,13 +189,15 @@
 
     def cancel(self, opened: OpenRequest, now_ms: float) -> list[str]:
         """Stop all work for a request; return the services where places became free."""
-        freed = [leg.service for leg in opened.legs if leg.open_attempts]
-        for leg in opened.legs:
+        freed = [leg.service for leg in opened.subrequests if leg.open_attempts]
+        for leg in opened.subrequests:
             self._waiting.drop(leg)
         self._book.cancel_all(opened, now_ms)
         return freed
 
-    def _follow_failure(self, leg: Leg, result: AttemptResult, why: str, now_ms: float) -> None:
+    def _follow_failure(
+        self, leg: Subrequest, result: AttemptResult, why: str, now_ms: float
+    ) -> None:
         """Send a failed leg again where that is allowed; else settle it."""
         if leg.open_attempts or leg.is_delegated:
             return
@@ -216,7 +222,7 @@
         opened.settle_failed(leg, why, now_ms)
 
     def _resend(
-        self, leg: Leg, upstream: UpstreamRecord, why: str, is_free: bool, now_ms: float
+        self, leg: Subrequest, upstream: UpstreamRecord, why: str, is_free: bool, now_ms: float
     ) -> None:
         if is_free:
             self._book.send(leg, upstream, now_ms)
@@ -234,12 +240,12 @@
         Failure: the first query of an instance opens a connection to each shard, and all of
         them seem late. Sent again, ninety parts doubled the load while a whole fleet started.
         """
-        if not opened.is_fan_out or opened.answered >= COMMON_SHARE * len(opened.legs):
+        if not opened.is_fan_out or opened.answered >= COMMON_SHARE * len(opened.subrequests):
             return False
         return not self._book.clock.is_known(opened.route, now_ms)
 
     def _late_ms(self, attempt: Attempt, now_ms: float) -> float:
-        has_plenty = self._book.budgets.has_plenty(attempt.leg.service, now_ms)
-        has_plenty = has_plenty and not self._is_slow_itself(attempt.leg.request, now_ms)
-        goal_left_ms = attempt.leg.request.goal_ms - attempt.sent_ms
+        has_plenty = self._book.budgets.has_plenty(attempt.subrequest.service, now_ms)
+        has_plenty = has_plenty and not self._is_slow_itself(attempt.subrequest.request, now_ms)
+        goal_left_ms = attempt.subrequest.request.goal_ms - attempt.sent_ms
         return self._book.clock.late_ms(attempt, goal_left_ms, now_ms, has_plenty)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/news.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/updates.py
@@ -35,4 +35,4 @@
     is_evacuated: bool
 
 
-News = ConfigurationSeen | UpstreamSeen | UpstreamWithdrawn | EvacuationSeen
+PublishedUpdate = ConfigurationSeen | UpstreamSeen | UpstreamWithdrawn | EvacuationSeen
--- a/packages/geraniumlead/src/geraniumlead/forwarding/upstream_chooser.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/upstream_chooser.py
@@ -5,7 +5,7 @@
 
 from geraniumlead.fleet import FleetView, UpstreamRecord
 from geraniumlead.forwarding.cold_rates import ColdRates
-from geraniumlead.forwarding.data_centre_ways import DataCentreWays
+from geraniumlead.forwarding.relative_rtts import RelativeRtts
 from geraniumlead.forwarding.upstream_estimate import UpstreamEstimate
 from geraniumlead.routes import Route, UpstreamService
 from geraniumlead.settings.forwarding_settings import ForwardingSettings
@@ -50,7 +50,7 @@
         self,
         settings: ForwardingSettings,
         fleet: FleetView,
-        ways: DataCentreWays,
+        ways: RelativeRtts,
         random: Random,
     ) -> None:
         self._settings = settings
@@ -90,10 +90,12 @@
         self.estimate_of(record.upstream_id).in_flight += 1
         self.cold.note_sent(record.upstream_id, now_ms)
 
-    def second_way_ms(self, service: str, first: UpstreamRecord, first_way_ms: float) -> float:
+    def second_relative_rtt_ms(
+        self, service: str, first: UpstreamRecord, first_way_ms: float
+    ) -> float:
         """Return the way to the nearest of the other upstreams of a service."""
         ways = [
-            self._ways.way_ms(record.data_centre)
+            self._ways.relative_rtt_ms(record.data_centre)
             for record in self._fleet.usable(service)
             if record.upstream_id != first.upstream_id
         ]
@@ -115,7 +117,7 @@
         route: Route,
         service: UpstreamService,
         tried: Collection[str],
-        usual_ms: float,
+        median_latency_ms: float,
         now_ms: float,
         only_good: bool = False,
     ) -> UpstreamRecord | None:
@@ -136,7 +138,7 @@
             is_avoided = now_ms < estimate.avoid_until_ms
             if is_avoided and only_good:
                 continue
-            expected_ms = self._expected_ms(record, estimate, usual_ms, now_ms)
+            expected_ms = self._expected_ms(record, estimate, median_latency_ms, now_ms)
             if is_avoided:
                 expected_ms += FAILURE_COST_MS
             if expected_ms < best_ms:
@@ -152,7 +154,7 @@
             expected_ms *= COLD_FACTOR
         expected_ms += FAILURE_COST_MS * estimate.failure_share_at(now_ms)
         expected_ms *= 1.0 + JITTER_SHARE * self._random.random()
-        expected_ms += self._ways.way_ms(record.data_centre)
+        expected_ms += self._ways.relative_rtt_ms(record.data_centre)
         if not self._is_near(record):
             expected_ms += REGION_HANDICAP_MS
         return expected_ms
--- a/packages/geraniumlead/src/geraniumlead/forwarding/waiting_legs.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/waiting_subrequests.py
@@ -1,6 +1,6 @@
 """Let parts of requests wait for a place at an upstream."""
 
-from geraniumlead.forwarding.open_request import Leg
+from geraniumlead.forwarding.open_request import Subrequest
 
 LONGEST_WAIT_GOAL_SHARE = 0.25
 """Part of the goal for which a request that was sent nowhere yet may wait: after it the caller
@@ -11,7 +11,7 @@
 further back could not be served within any goal."""
 
 
-class WaitingLegs:
+class WaitingSubrequests:
     """Hold the parts whose upstreams have all the calls they may have of this instance.
 
     Load pattern: a burst, or all callers at once after a loss of power. Each upstream takes a
@@ -27,9 +27,9 @@
     __slots__ = ("_legs",)
 
     def __init__(self) -> None:
-        self._legs: dict[str, list[Leg]] = {}
+        self._legs: dict[str, list[Subrequest]] = {}
 
-    def add(self, leg: Leg) -> bool:
+    def add(self, leg: Subrequest) -> bool:
         """Let a part wait; False when too many do."""
         waiting = self._legs.setdefault(leg.service, [])
         if len(waiting) >= MOST_WAITING:
@@ -38,7 +38,7 @@
         leg.is_waiting = True
         return True
 
-    def take(self, service: str, now_ms: float) -> Leg | None:
+    def take(self, service: str, now_ms: float) -> Subrequest | None:
         """Take out the part whose turn it is; None when none waits."""
         waiting = self._legs.get(service)
         if not waiting:
@@ -48,7 +48,7 @@
         leg.is_waiting = False
         return leg
 
-    def drop(self, leg: Leg) -> None:
+    def drop(self, leg: Subrequest) -> None:
         """Take out a part that nobody wants any more."""
         if leg.is_waiting:
             self._legs[leg.service].remove(leg)
@@ -59,6 +59,6 @@
         return bool(self._legs.get(service))
 
 
-def _urgency(leg: Leg, now_ms: float) -> tuple[bool, int, float]:
+def _urgency(leg: Subrequest, now_ms: float) -> tuple[bool, int, float]:
     opened = leg.request
     return now_ms >= opened.goal_ms, opened.route.priority, opened.goal_ms
--- a/packages/geraniumlead/tests/core_tests/forwarding/builders.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/builders.py
@@ -6,7 +6,7 @@
     ConfigurationSeen,
     ForwardedRequest,
     ForwardingSettings,
-    PublishedNews,
+    PublishedUpdates,
     UpstreamSeen,
 )
 from geraniumlead.routes import (
@@ -79,9 +79,9 @@
     configuration: PublishedConfiguration,
     *records: UpstreamRecord,
     is_snapshot: bool = True,
-) -> PublishedNews:
+) -> PublishedUpdates:
     news = (ConfigurationSeen(configuration), *(UpstreamSeen(record) for record in records))
-    return PublishedNews(news, is_snapshot)
+    return PublishedUpdates(news, is_snapshot)
 
 
 def build_request(key: int = 1, now_ms: float = 0.0, **changes) -> ForwardedRequest:
--- a/packages/geraniumlead/tests/core_tests/forwarding/fleet_harness.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/fleet_harness.py
@@ -5,7 +5,7 @@
 
 from core_tests.forwarding.builders import build_answer, build_settings
 from core_tests.forwarding.harness import ForwarderHarness
-from geraniumlead.forwarding import PeerHeard, PublishedNews, StartAttempt
+from geraniumlead.forwarding import PeerHeard, PublishedUpdates, StartAttempt
 from geraniumlead.peering import PeeringMessage, decode_peering, encode_peering
 from geraniumlead.peering.peer_letter import PeerLetter
 
@@ -44,7 +44,7 @@
         self.slow_ms: dict[str, float] = {}
         self._late: list[tuple[float, str, str, PeeringMessage]] = []
 
-    def publish(self, news: PublishedNews) -> None:
+    def publish(self, news: PublishedUpdates) -> None:
         for member in self.members.values():
             member.handle(news)
 
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_blocks.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_blocks.py
@@ -9,8 +9,8 @@
     build_record,
 )
 from core_tests.forwarding.fleet_harness import FleetHarness, address_of
+from geraniumlead.forwarding.aggregator_chooser import GATHERERS
 from geraniumlead.forwarding.delegation_plan import BLOCK_SHARDS
-from geraniumlead.forwarding.gatherers import GATHERERS
 from geraniumlead.peering import DelegatedRequest
 
 SHARDS = 96
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_cold_rates.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_cold_rates.py
@@ -11,7 +11,7 @@
     build_settings,
 )
 from core_tests.forwarding.harness import ForwarderHarness
-from geraniumlead.forwarding import EvacuationSeen, PublishedNews
+from geraniumlead.forwarding import EvacuationSeen, PublishedUpdates
 from geraniumlead.routes import PublishedConfiguration, UpstreamService
 
 RATE_PER_S = 3.0
@@ -84,8 +84,8 @@
         Requests waited for their return; sent at once, they would crash all of them.
         """
         (harness,) = self.build(1, back=0.0)
-        out = PublishedNews((EvacuationSeen("noord-a", True),), is_snapshot=False)
-        back = PublishedNews((EvacuationSeen("noord-a", False),), is_snapshot=False)
+        out = PublishedUpdates((EvacuationSeen("noord-a", True),), is_snapshot=False)
+        back = PublishedUpdates((EvacuationSeen("noord-a", False),), is_snapshot=False)
         harness.handle(out)
         harness.handle(back)
         sent = self.send_for([harness], 2.0)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_crash_book.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_crash_book.py
@@ -12,7 +12,7 @@
 )
 from core_tests.forwarding.harness import ForwarderHarness
 from geraniumlead.forwarding import PeerHeard, PossiblyExecuted
-from geraniumlead.forwarding.crash_book import QUARANTINE_MS, STRIKES
+from geraniumlead.forwarding.crash_tracker import QUARANTINE_MS, STRIKES
 from geraniumlead.peering import CrashNotice
 
 LOST = PossiblyExecuted("reset", is_connection_lost=True)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_cut_off_watch.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_cut_off_watch.py
@@ -11,47 +11,47 @@
 )
 from core_tests.forwarding.harness import ForwarderHarness
 from geraniumlead.forwarding import NotReached, OwnReply
-from geraniumlead.forwarding.cut_off_watch import (
-    CUT_OFF_MS,
+from geraniumlead.forwarding.isolation_detector import (
+    ISOLATED_AFTER_MS,
     LEAST_UNREACHED,
     LOOK_AGAIN_MS,
     PROBE_MS,
-    CutOffWatch,
+    IsolationDetector,
 )
 
 UNREACHED = NotReached("timeout", is_timeout=True)
 
 
 class CutOffWatchTests(TestCase):
-    def build(self, count: int = LEAST_UNREACHED) -> CutOffWatch:
-        found = CutOffWatch()
+    def build(self, count: int = LEAST_UNREACHED) -> IsolationDetector:
+        found = IsolationDetector()
         found.note_answer(0.0)
         for number in range(count):
-            found.note_unreached(f"upstream-{number}", CUT_OFF_MS)
+            found.note_unreached(f"upstream-{number}", ISOLATED_AFTER_MS)
         return found
 
     def test_failed_connections_and_no_answer_from_anywhere_mean_cut_off(self):
         found = self.build()
-        self.assertFalse(found.is_cut_off(CUT_OFF_MS - 1.0))
-        self.assertTrue(found.is_cut_off(CUT_OFF_MS))
-        found.note_answer(CUT_OFF_MS + 1.0)
-        self.assertFalse(found.is_cut_off(2.0 * CUT_OFF_MS))
+        self.assertFalse(found.is_isolated(ISOLATED_AFTER_MS - 1.0))
+        self.assertTrue(found.is_isolated(ISOLATED_AFTER_MS))
+        found.note_answer(ISOLATED_AFTER_MS + 1.0)
+        self.assertFalse(found.is_isolated(2.0 * ISOLATED_AFTER_MS))
 
     def test_one_or_two_upstreams_without_power_do_not(self):
-        self.assertFalse(self.build(LEAST_UNREACHED - 1).is_cut_off(CUT_OFF_MS))
+        self.assertFalse(self.build(LEAST_UNREACHED - 1).is_isolated(ISOLATED_AFTER_MS))
 
     def test_slow_answers_alone_do_not(self):
         """All upstreams take longer than usual; their answers will come, and are waited for."""
-        self.assertFalse(self.build(0).is_cut_off(10.0 * CUT_OFF_MS))
+        self.assertFalse(self.build(0).is_isolated(10.0 * ISOLATED_AFTER_MS))
 
     def test_requests_are_sent_again_after_a_while(self):
-        self.assertFalse(self.build().is_cut_off(CUT_OFF_MS + LOOK_AGAIN_MS))
+        self.assertFalse(self.build().is_isolated(ISOLATED_AFTER_MS + LOOK_AGAIN_MS))
 
     def test_one_request_at_a_time_looks(self):
         found = self.build()
-        self.assertFalse(found.is_useless(CUT_OFF_MS))
-        self.assertTrue(found.is_useless(CUT_OFF_MS + 1.0))
-        self.assertFalse(found.is_useless(CUT_OFF_MS + PROBE_MS))
+        self.assertFalse(found.is_useless(ISOLATED_AFTER_MS))
+        self.assertTrue(found.is_useless(ISOLATED_AFTER_MS + 1.0))
+        self.assertFalse(found.is_useless(ISOLATED_AFTER_MS + PROBE_MS))
 
 
 class CutOffInstanceTests(TestCase):
@@ -83,7 +83,7 @@
             harness.end(attempt, UNREACHED)
         for attempt in list(harness.started[-12:]):
             harness.end(attempt, UNREACHED)
-        harness.now_ms += CUT_OFF_MS
+        harness.now_ms += ISOLATED_AFTER_MS
         self.assertNotEqual([], harness.ask(2, path="/all/1"), "the first one looks")
         self.assertFalse(harness.forwarder.is_ready)
         self.assertEqual([], harness.ask(3, path="/all/1"))
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_late_clock.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_late_clock.py
@@ -4,7 +4,7 @@
 
 from core_tests.forwarding.builders import build_fan_out, build_record, build_request
 from geraniumlead.forwarding.late_clock import LateClock
-from geraniumlead.forwarding.open_request import Attempt, Leg, OpenRequest
+from geraniumlead.forwarding.open_request import Attempt, OpenRequest, Subrequest
 
 USUAL_MS = 20.0
 SLOW_MS = 160.0
@@ -19,7 +19,7 @@
         for number in range(100):
             clock.record(route, SLOW_MS if number < slow_count else USUAL_MS, 0.0)
         opened = OpenRequest(build_request(), route, None, 0.0, 0.0)
-        attempt = Attempt(1, Leg(opened, "shard-0"), build_record("x"), 0.0, 0.0, 0.0)
+        attempt = Attempt(1, Subrequest(opened, "shard-0"), build_record("x"), 0.0, 0.0, 0.0)
         return clock.late_ms(attempt, GOAL_LEFT_MS, 100.0, has_plenty=True)
 
     def test_the_few_that_pause_set_the_time(self):
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_late_words.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_late_words.py
@@ -117,7 +117,7 @@
         self.build(extra_slack=1_000.0)
         self.ask_slow_peers()
         self.fleet.run_until(self.fleet.now_ms + 60.0)
-        self.assertGreater(self.entry.forwarder._runner._open[1].extra, 0)
+        self.assertGreater(self.entry.forwarder._runner._open[1].extra_attempts, 0)
         delegated = set()
         for address in self.fleet.members:
             if address != ENTRY:
@@ -192,4 +192,4 @@
         self.fleet.slow_ms = {name: 60.0 for name in self.fleet.members if name != ENTRY}
         self.fleet.deliver()
         self.fleet.run_until(self.fleet.now_ms + 55.0)
-        self.assertEqual(0, self.entry.forwarder._runner._open[99].extra)
+        self.assertEqual(0, self.entry.forwarder._runner._open[99].extra_attempts)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_published_state.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_published_state.py
@@ -10,7 +10,7 @@
     build_route,
 )
 from core_tests.forwarding.harness import ForwarderHarness
-from geraniumlead.forwarding import PublishedNews, StoreLost, UpstreamWithdrawn
+from geraniumlead.forwarding import PublishedUpdates, StoreLost, UpstreamWithdrawn
 from geraniumlead.routes import PublishedConfiguration, RouteTable, UpstreamService
 
 
@@ -44,8 +44,8 @@
     def test_a_request_tells_how_old_the_view_was_that_it_was_served_by(self):
         """Guards against a complaint of old routes that no line of the log can explain."""
         harness = ForwarderHarness()
-        news = build_news(build_configuration(build_route()), build_record("x")).news
-        harness.handle(PublishedNews(news, False, age_ms=300.0, source="entry-2"))
+        news = build_news(build_configuration(build_route()), build_record("x")).updates
+        harness.handle(PublishedUpdates(news, False, age_ms=300.0, source="entry-2"))
         harness.now_ms += 900.0
         (attempt,) = harness.ask()
         harness.end(attempt, build_answer())
@@ -58,7 +58,7 @@
         harness = ForwarderHarness()
         harness.handle(build_news(build_configuration(build_route()), build_record("x")))
         harness.now_ms += 1_000.0
-        harness.handle(PublishedNews((), False, age_ms=2_500.0, source="entry-2"))
+        harness.handle(PublishedUpdates((), False, age_ms=2_500.0, source="entry-2"))
         self.assertEqual(1_000.0, harness.forwarder.published.view_age_ms(harness.now_ms))
 
 
@@ -70,7 +70,7 @@
 
     def withdraw(self, harness: ForwarderHarness, **changes) -> list:
         """Let the upstream's entry go; return what a request then starts."""
-        harness.handle(PublishedNews((UpstreamWithdrawn("x"),), is_snapshot=False, **changes))
+        harness.handle(PublishedUpdates((UpstreamWithdrawn("x"),), is_snapshot=False, **changes))
         return harness.ask()
 
     def test_a_long_silence_counts_from_the_last_answer(self):
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_single_requests.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_single_requests.py
@@ -16,7 +16,7 @@
     NotReached,
     OwnReply,
     PossiblyExecuted,
-    PublishedNews,
+    PublishedUpdates,
     RelayedReply,
     RequestArrived,
 )
@@ -177,7 +177,7 @@
 
     def test_an_empty_reading_of_the_store_leaves_nothing_to_serve(self):
         harness = self.build()
-        harness.handle(PublishedNews((), is_snapshot=True))
+        harness.handle(PublishedUpdates((), is_snapshot=True))
         harness.handle(RequestArrived(build_request(2)))
         self.assertEqual(503, harness.replies[2].status)
         self.assertFalse(harness.forwarder.is_ready)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_upstream_chooser.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_upstream_chooser.py
@@ -6,7 +6,7 @@
 
 from core_tests.forwarding.builders import build_record, build_route, build_settings
 from geraniumlead.fleet import FleetView
-from geraniumlead.forwarding.data_centre_ways import DataCentreWays
+from geraniumlead.forwarding.relative_rtts import RelativeRtts
 from geraniumlead.forwarding.upstream_chooser import UpstreamChooser
 from geraniumlead.forwarding.upstream_estimate import MOST_AVOID_MS, UpstreamEstimate
 from geraniumlead.routes import UpstreamService
@@ -19,7 +19,7 @@
     def setUp(self):
         self.fleet = FleetView()
         settings = build_settings()
-        self.ways = DataCentreWays(settings)
+        self.ways = RelativeRtts(settings)
         self.chooser = UpstreamChooser(settings, self.fleet, self.ways, Random(3))
         self.chooser.set_instances(7, ())
 
@@ -103,19 +103,19 @@
 
 class DataCentreWaysTests(TestCase):
     def test_the_way_is_what_the_quickest_answers_differ_by(self):
-        ways = DataCentreWays(build_settings())
+        ways = RelativeRtts(build_settings())
         for near_ms, far_ms in ((30.0, 70.0), (5.0, 44.0), (12.0, 90.0)):
             ways.note("noord-a", near_ms, 0.0)
             ways.note("zuid-a", far_ms, 0.0)
-        self.assertEqual(0.0, ways.way_ms("noord-a"))
-        self.assertEqual(39.0, ways.way_ms("zuid-a"))
+        self.assertEqual(0.0, ways.relative_rtt_ms("noord-a"))
+        self.assertEqual(39.0, ways.relative_rtt_ms("zuid-a"))
 
     def test_a_way_that_got_longer_is_learnt_within_two_windows(self):
-        ways = DataCentreWays(build_settings())
+        ways = RelativeRtts(build_settings())
         for now_ms, far_ms in ((0.0, 45.0), (11_000.0, 85.0), (22_000.0, 85.0)):
             ways.note("noord-a", 5.0, now_ms)
             ways.note("zuid-a", far_ms, now_ms)
-        self.assertEqual(80.0, ways.way_ms("zuid-a"))
+        self.assertEqual(80.0, ways.relative_rtt_ms("zuid-a"))
 
 
 class UpstreamEstimateTests(TestCase):
