--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/ablation.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/ablation.py
@@ -32,7 +32,7 @@
         UpstreamEstimate, "_avoid", lambda self, first_ms, now_ms: None
     ),
     "no handicap of other regions": lambda: patch.object(
-        upstream_chooser, "REGION_HANDICAP_MS", 0.0
+        upstream_chooser, "CROSS_REGION_PENALTY_MS", 0.0
     ),
     "no jitter": lambda: patch.object(upstream_chooser, "JITTER_SHARE", 0.0),
     "no wait for a place": lambda: patch.object(WaitingSubrequests, "add", lambda self, leg: False),
--- a/packages/geraniumlead/src/geraniumlead/forwarding/attempt_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/attempt_tracker.py
@@ -60,7 +60,7 @@
             return None
         usual_ms = self.clock.median_latency_ms(opened.route, now_ms)
         return self.chooser.choose(
-            opened.route, service, leg.tried, usual_ms, now_ms, only_good=only_good
+            opened.route, service, leg.tried, usual_ms, now_ms, skip_avoided=only_good
         )
 
     def could_wait(self, leg: Subrequest, now_ms: float) -> bool:
@@ -81,7 +81,7 @@
         leg.open_attempts[attempt.attempt_id] = attempt
         leg.tried.add(upstream.upstream_id)
         leg.sent_to.append(upstream.upstream_id)
-        self.chooser.note_sent(upstream, now_ms)
+        self.chooser.record_sent(upstream, now_ms)
         left_ms = opened.end_ms - now_ms
         self._actions.append(StartAttempt(attempt.attempt_id, upstream, opened.request, left_ms))
 
@@ -114,7 +114,7 @@
             elapsed_ms = now_ms - attempt.sent_ms - attempt.relative_rtt_ms
             route = leg.request.route
             usual_ms = self.clock.median_latency_ms(route, now_ms)
-            estimate.note_at_least(elapsed_ms / usual_ms, now_ms)
+            estimate.record_lower_bound(elapsed_ms / usual_ms, now_ms)
             if attempt.is_overdue and leg.answer is not None:
                 # Without those that lost to a second attempt, the quantile would sink from
                 # window to window, and ever more attempts would count as late.
@@ -130,7 +130,7 @@
         """Pass over an upstream while a call of it is overdue."""
         upstream = attempt.upstream
         attempt.is_overdue = True
-        self.chooser.estimate_of(upstream.upstream_id).note_overdue(now_ms)
+        self.chooser.estimate_of(upstream.upstream_id).record_overdue(now_ms)
 
     def _learn(self, attempt: Attempt, result: AttemptResult, now_ms: float) -> None:
         estimate = self.chooser.estimate_of(attempt.upstream.upstream_id)
@@ -139,20 +139,20 @@
         upstream = attempt.upstream
         match result:
             case NotReached(is_timeout=True):
-                self.isolation.note_unreached(upstream.upstream_id, now_ms)
+                self.isolation.record_unreachable(upstream.upstream_id, now_ms)
             case _:
-                self.isolation.note_answer(now_ms)
+                self.isolation.record_answer(now_ms)
         match result:
             case Completed(is_success=True):
                 latency_ms = now_ms - attempt.sent_ms
-                self.relative_rtts.note(upstream.data_centre, latency_ms, now_ms)
+                self.relative_rtts.record_latency(upstream.data_centre, latency_ms, now_ms)
                 work_ms = max(0.0, latency_ms - attempt.relative_rtt_ms)
                 usual_ms = self.clock.median_latency_ms(route, now_ms)
-                estimate.note_latency(work_ms / usual_ms, now_ms)
+                estimate.record_latency(work_ms / usual_ms, now_ms)
                 self.clock.record(route, work_ms, now_ms)
             case NotExecuted(is_other_upstream=True):
-                estimate.note_gone(now_ms)
+                estimate.record_address_reused(now_ms)
             case NotReached():
-                estimate.note_refused(now_ms)
+                estimate.record_refused(now_ms)
             case Completed() | NotExecuted() | PossiblyExecuted():
-                estimate.note_failure(now_ms)
+                estimate.record_failure(now_ms)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/crash_refusal.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/crash_refusal.py
@@ -1,5 +1,3 @@
-"""Refuse a request that has crashed the upstreams that ran it."""
-
 from geraniumlead.forwarding.actions import ForwardingAction, LogDecision, SendReply
 from geraniumlead.forwarding.closing import UNAVAILABLE
 from geraniumlead.forwarding.crash_tracker import QUARANTINE_MS
@@ -9,7 +7,7 @@
 
 
 def refuse_crashing(request: ForwardedRequest, route: Route) -> list[ForwardingAction]:
-    """Return the reply to such a request, and its line in the log."""
+    """Return the refusal of a request that crashes upstreams, and its log entry."""
     reply = OwnReply(UNAVAILABLE, "crashes_upstreams", QUARANTINE_MS)
     fields = {
         "request_id": request.request_id,
--- a/packages/geraniumlead/src/geraniumlead/forwarding/crash_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/crash_tracker.py
@@ -1,91 +1,89 @@
-"""Remember requests that crash the upstreams which run them."""
-
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-STRIKES = 3
-"""Upstreams lost in a row, without one answer, after which a request is not sent any more. An
-upstream crashes by itself now and then, and connections are reset; the same request on three
-of them, and answered by none, is no accident."""
+MAX_STRIKES = 3
+"""Upstreams lost in a row, without a single answer, after which a request is not sent any more.
+Upstreams crash for other reasons now and then, and connections are reset; but three upstreams lost
+with the same request and no answer from any of them are no coincidence."""
 
 QUARANTINE_MS = 60_000.0
-"""Time for which it is refused, counted anew each time it comes; whoever sends it is told to
-come back after it, and upstreams may have been mended by then."""
+"""Time for which a request is refused, which starts anew each time it arrives. The sender is told
+to retry after it; upstreams may have been repaired by then."""
 
-MOST_REQUESTS = 2_000
-"""Fingerprints that are remembered, the newest; some hundred bytes each."""
+MAX_REQUESTS = 2_000
+"""Maximum number of fingerprints kept, the most recent ones; each takes some hundred bytes."""
 
 
 @dataclass(slots=True)
 class CrashRecord:
-    """Hold the upstreams that were lost while they ran a request."""
+    """The upstreams that were lost while they ran a request, and when its refusal ends."""
 
-    upstreams: set[str] = field(default_factory=set)
-    until_ms: float = 0.0
+    upstream_ids: set[str] = field(default_factory=set)
+    refused_until_ms: float = 0.0
 
 
 class CrashTracker:
-    """Count lost connections by the fingerprint of the request that was on them.
+    """Counts lost connections by the fingerprint of the request that was sent on them.
 
-    Load pattern: one request crashes each upstream that begins to run it, and its caller
-    sends it again, to any instance, with the same path and body. Each try takes an upstream
-    away from all others for seconds. Peers are told of strikes, since the next try may reach
+    Load pattern: one request crashes each upstream that begins to run it, and its caller retries
+    with the same path and body, at any instance. Each attempt makes an upstream unavailable for all
+    other requests for seconds. Peers are notified of the strikes, since the next attempt may reach
     one of them.
 
-    Whoever shares the upstream with such a request loses its connection too, and when a data
-    centre loses power all do. One answer clears a request: the harmful one never has any.
+    Other requests at the same upstream lose their connection too, and when a data centre loses
+    power all do. A single answer clears a request: a harmful one never gets any.
     """
 
-    __slots__ = ("_records", "_told")
+    __slots__ = ("_records", "_unsent")
 
     def __init__(self) -> None:
         self._records: OrderedDict[int, CrashRecord] = OrderedDict()
-        self._told: dict[int, tuple[str, ...]] = {}
+        self._unsent: dict[int, tuple[str, ...]] = {}
 
     def __len__(self) -> int:
         """Return how many requests have strikes."""
         return len(self._records)
 
-    def note_lost(self, fingerprint: int, upstream_id: str, now_ms: float) -> None:
-        """Strike a request whose connection to an upstream was lost."""
-        self._strike(fingerprint, (upstream_id,), now_ms)
+    def record_lost(self, fingerprint: int, upstream_id: str, now_ms: float) -> None:
+        """Add a strike to a request whose connection to an upstream was lost."""
+        self._add_strikes(fingerprint, (upstream_id,), now_ms)
 
-    def note_answered(self, fingerprint: int) -> None:
-        """Clear a request that an upstream answered."""
+    def record_answered(self, fingerprint: int) -> None:
+        """Clear the strikes of a request that an upstream answered."""
         self._records.pop(fingerprint, None)
-        self._told.pop(fingerprint, None)
+        self._unsent.pop(fingerprint, None)
 
-    def note_ended(self, fingerprint: int) -> None:
-        """Let peers be told of a request that ended without any answer."""
+    def record_ended(self, fingerprint: int) -> None:
+        """Queue the strikes of a request that ended without any answer, to be sent to peers."""
         record = self._records.get(fingerprint)
         if record is not None:
-            self._told[fingerprint] = tuple(sorted(record.upstreams))
+            self._unsent[fingerprint] = tuple(sorted(record.upstream_ids))
 
-    def hear(self, fingerprint: int, upstream_ids: tuple[str, ...], now_ms: float) -> None:
-        """Take over the strikes that a peer saw."""
-        self._strike(fingerprint, upstream_ids, now_ms)
+    def handle_notice(self, fingerprint: int, upstream_ids: tuple[str, ...], now_ms: float) -> None:
+        """Add the strikes that a peer recorded."""
+        self._add_strikes(fingerprint, upstream_ids, now_ms)
 
     def is_refused(self, fingerprint: int, now_ms: float) -> bool:
-        """Return whether a request is not to be sent; each time it comes counts anew."""
+        """Return whether a request has to be refused; a refusal starts its time anew."""
         record = self._records.get(fingerprint)
-        if record is None or len(record.upstreams) < STRIKES:
+        if record is None or len(record.upstream_ids) < MAX_STRIKES:
             return False
-        if now_ms >= record.until_ms:
-            # One more try: if it crashes again, it is refused again at once.
-            record.upstreams.pop()
+        if now_ms >= record.refused_until_ms:
+            # Allows one more attempt: if it crashes an upstream again, it is refused at once.
+            record.upstream_ids.pop()
             return False
-        record.until_ms = now_ms + QUARANTINE_MS
+        record.refused_until_ms = now_ms + QUARANTINE_MS
         return True
 
-    def take_told(self) -> dict[int, tuple[str, ...]]:
-        """Return the strikes that peers have to be told of, once."""
-        told, self._told = self._told, {}
-        return told
+    def drain_unsent(self) -> dict[int, tuple[str, ...]]:
+        """Return the strikes that peers have not been sent yet, and clear the queue."""
+        unsent, self._unsent = self._unsent, {}
+        return unsent
 
-    def _strike(self, fingerprint: int, upstream_ids: tuple[str, ...], now_ms: float) -> None:
+    def _add_strikes(self, fingerprint: int, upstream_ids: tuple[str, ...], now_ms: float) -> None:
         record = self._records.setdefault(fingerprint, CrashRecord())
-        record.upstreams.update(upstream_ids)
-        record.until_ms = now_ms + QUARANTINE_MS
+        record.upstream_ids.update(upstream_ids)
+        record.refused_until_ms = now_ms + QUARANTINE_MS
         self._records.move_to_end(fingerprint)
-        if len(self._records) > MOST_REQUESTS:
+        if len(self._records) > MAX_REQUESTS:
             self._records.popitem(last=False)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegated_request_registry.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegated_request_registry.py
@@ -1,5 +1,3 @@
-"""Serve the shards that peers ask for."""
-
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
 from geraniumlead.forwarding.merge import merge_greatest
 from geraniumlead.forwarding.open_request import OpenRequest
@@ -8,26 +6,28 @@
 
 
 class DelegatedRequestRegistry:
-    """Tie each request of a peer to a key of its own, and turn its end into a message.
+    """Maps the requests that peers delegate to local keys, and builds the replies to them.
 
-    Keys of peers' requests are negative, so they never meet those of callers.
+    The keys of delegated requests are negative, so they never collide with those of callers.
     """
 
-    __slots__ = ("_keys", "_next", "_owners")
+    __slots__ = ("_keys", "_last_key", "_senders")
 
     def __init__(self) -> None:
-        self._next = 0
-        self._owners: dict[int, tuple[str, int]] = {}
+        self._last_key = 0
+        self._senders: dict[int, tuple[str, int]] = {}
         self._keys: dict[tuple[str, int], int] = {}
 
-    def accept(self, sender_id: str, message: DelegatedRequest, now_ms: float) -> ForwardedRequest:
-        """Return the request of a message."""
-        self._next -= 1
-        owner = (sender_id, message.number)
-        self._owners[self._next] = owner
-        self._keys[owner] = self._next
+    def register(
+        self, sender_id: str, message: DelegatedRequest, now_ms: float
+    ) -> ForwardedRequest:
+        """Register a delegated request; return the request to run for it."""
+        self._last_key -= 1
+        sender = (sender_id, message.number)
+        self._senders[self._last_key] = sender
+        self._keys[sender] = self._last_key
         return ForwardedRequest(
-            key=self._next,
+            key=self._last_key,
             request_id=message.request_id,
             method=message.method,
             host=message.host,
@@ -42,48 +42,52 @@
         )
 
     def find_key(self, sender_id: str, number: int) -> int | None:
-        """Return the key of a peer's request; None when it has ended."""
+        """Return the key of a delegated request; None if it has ended."""
         return self._keys.get((sender_id, number))
 
-    def take_key(self, sender_id: str, number: int) -> int | None:
-        """Take out a peer's request that nobody waits for; return its key."""
+    def pop_key(self, sender_id: str, number: int) -> int | None:
+        """Remove a request cancelled by its sender; return its key, or None if it has ended."""
         key = self._keys.pop((sender_id, number), None)
         if key is not None:
-            del self._owners[key]
+            del self._senders[key]
         return key
 
-    def take_reply(self, opened: OpenRequest) -> tuple[str, DelegatedReply]:
-        """Take out a request that ends with what is in; return whom to tell what."""
-        sender_id, number = self._owners.pop(opened.request.key)
+    def pop_final_reply(self, opened: OpenRequest) -> tuple[str, DelegatedReply]:
+        """Remove a request that ends; return the sender's id and the final reply."""
+        sender_id, number = self._senders.pop(opened.request.key)
         del self._keys[(sender_id, number)]
-        places = _places(opened)
+        positions = _positions_of(opened)
         tried = tuple(
-            (places[leg.service], tuple(leg.sent_to))
-            for leg in opened.subrequests
-            if leg.answer is None
+            (positions[subrequest.service], tuple(subrequest.sent_to))
+            for subrequest in opened.subrequests
+            if subrequest.answer is None
         )
-        return sender_id, self._reply(number, opened, is_final=True, tried=tried)
+        return sender_id, self._build_reply(number, opened, is_final=True, tried=tried)
 
-    def report(self, opened: OpenRequest) -> tuple[str, DelegatedReply]:
-        """Return whom to tell what is in, while the rest is still waited for."""
-        sender_id, number = self._owners[opened.request.key]
-        return sender_id, self._reply(number, opened, is_final=False)
+    def build_partial_reply(self, opened: OpenRequest) -> tuple[str, DelegatedReply]:
+        """Return the sender's id and a partial reply, while the other shards are awaited."""
+        sender_id, number = self._senders[opened.request.key]
+        return sender_id, self._build_reply(number, opened, is_final=False)
 
-    def _reply(self, number: int, opened: OpenRequest, **fields) -> DelegatedReply:
-        """Return a message with the answers that no earlier one had."""
+    def _build_reply(self, number: int, opened: OpenRequest, **fields) -> DelegatedReply:
+        """Return a reply with the answers that no earlier reply contained."""
         answered = [
-            leg for leg in opened.subrequests if leg.answer is not None and not leg.is_reported
+            subrequest
+            for subrequest in opened.subrequests
+            if subrequest.answer is not None and not subrequest.is_reported
         ]
-        for leg in answered:
-            leg.is_reported = True
+        for subrequest in answered:
+            subrequest.is_reported = True
         target = opened.route.target
         count = target.record_count if isinstance(target, FanOut) else 0
-        records = merge_greatest((leg.answer.body for leg in answered), count)
-        places = _places(opened)
-        signatures = tuple((places[leg.service], leg.answer.signature) for leg in answered)
+        records = merge_greatest((subrequest.answer.body for subrequest in answered), count)
+        positions = _positions_of(opened)
+        signatures = tuple(
+            (positions[subrequest.service], subrequest.answer.signature) for subrequest in answered
+        )
         return DelegatedReply(number=number, signatures=signatures, records=records, **fields)
 
 
-def _places(opened: OpenRequest) -> dict[str, int]:
-    """Return the place of each shard in the peer's request."""
-    return {service: place for place, service in enumerate(opened.request.shards or ())}
+def _positions_of(opened: OpenRequest) -> dict[str, int]:
+    """Return the position of each shard in the peer's request."""
+    return {service: position for position, service in enumerate(opened.request.shards or ())}
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegated_subrequests.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegated_subrequests.py
@@ -1,12 +1,10 @@
-"""Pass shards of requests to peers, and take in what they bring."""
-
 from collections.abc import Mapping, Sequence
 
 from geraniumlead.fleet import UpstreamRecord
 from geraniumlead.forwarding.actions import ForwardingAction, PeerReply
 from geraniumlead.forwarding.delegated_request_registry import DelegatedRequestRegistry
-from geraniumlead.forwarding.delegation_plan import DelegationPlan
-from geraniumlead.forwarding.delegations import Delegation, Delegations, Lateness
+from geraniumlead.forwarding.delegation_planner import DelegationPlanner
+from geraniumlead.forwarding.delegation_tracker import Delegation, DelegationTracker, Lateness
 from geraniumlead.forwarding.open_request import OpenRequest, Subrequest
 from geraniumlead.forwarding.results import Completed
 from geraniumlead.forwarding.subrequest_sender import SubrequestSender
@@ -16,110 +14,117 @@
 
 
 class DelegatedSubrequests:
-    """Tie the shards that peers ask to the requests here, in both directions."""
+    """Delegates subrequests to peers and settles them with the peers' replies.
+
+    It also sends the replies to requests that peers have delegated to this instance.
+    """
 
-    __slots__ = ("_actions", "_legs", "_plan", "delegations", "registry")
+    __slots__ = ("_actions", "_planner", "_sender", "registry", "tracker")
 
     def __init__(
         self,
-        plan: DelegationPlan,
-        legs: SubrequestSender,
+        planner: DelegationPlanner,
+        sender: SubrequestSender,
         actions: list[ForwardingAction],
         own_contact: PeerContact,
     ) -> None:
-        self._plan = plan
-        self.delegations = Delegations(own_contact)
+        self._planner = planner
+        self.tracker = DelegationTracker(own_contact)
         self.registry = DelegatedRequestRegistry()
-        self._legs = legs
+        self._sender = sender
         self._actions = actions
 
-    def pass_on(
+    def delegate(
         self, opened: OpenRequest, chosen: list[tuple[Subrequest, UpstreamRecord]], now_ms: float
     ) -> list[tuple[Subrequest, UpstreamRecord]]:
-        """Pass shards to the peers that are to ask them; return the others."""
+        """Delegate subrequests to peers as planned; return those to send from here."""
         if not opened.is_fan_out:
             return chosen
-        for assignment in self._plan.assign(opened, chosen, now_ms):
-            for leg in assignment.legs:
-                leg.may_have_run = True
-                leg.is_delegated = True
-            letter = self.delegations.start(opened, assignment.legs, assignment.peer, now_ms)
-            self._actions.append(letter)
-        return [(leg, upstream) for leg, upstream in chosen if not leg.is_delegated]
-
-    def take_reply(self, delegation: Delegation, reply: DelegatedReply, now_ms: float) -> None:
-        """Take in what a peer brought for the shards that it was asked to ask."""
+        for assignment in self._planner.assign(opened, chosen, now_ms):
+            for subrequest in assignment.subrequests:
+                subrequest.may_have_run = True
+                subrequest.is_delegated = True
+            message = self.tracker.start(opened, assignment.subrequests, assignment.peer, now_ms)
+            self._actions.append(message)
+        return [
+            (subrequest, upstream) for subrequest, upstream in chosen if not subrequest.is_delegated
+        ]
+
+    def handle_reply(self, delegation: Delegation, reply: DelegatedReply, now_ms: float) -> None:
+        """Settle delegated subrequests with the reply of a peer."""
         signatures = dict(reply.signatures)
         records = reply.records
-        for place, leg in enumerate(delegation.legs):
-            signature = signatures.get(place)
+        for position, subrequest in enumerate(delegation.subrequests):
+            signature = signatures.get(position)
             if signature is not None:
-                # The records are those of all the peer's shards; they are merged once, in place
-                # of the answer of any shard that was asked from here as well.
+                # The records are those of all shards in the reply, so only the first settled
+                # subrequest gets them. They replace the answer of any shard that was queried
+                # from here as well.
                 answer = Completed(OK, (), records, signature)
-                delegation.opened.settle_answered(leg, answer)
-                self._legs.cancel_leg(leg, now_ms)
+                delegation.opened.settle_answered(subrequest, answer)
+                self._sender.cancel_leg(subrequest, now_ms)
                 records = b""
         if reply.is_final:
-            why = "declined" if reply.is_declined else "missing at the peer"
+            reason = "declined" if reply.is_declined else "missing at the peer"
             tried = {
-                leg.service: upstream_ids
-                for place, upstream_ids in reply.tried
-                if (leg := delegation.leg_at(place)) is not None
+                subrequest.service: upstream_ids
+                for position, upstream_ids in reply.tried
+                if (subrequest := delegation.subrequest_at(position)) is not None
             }
-            self._ask_from_here(delegation, tried, why, now_ms)
+            self._send_from_here(delegation, tried, reason, now_ms)
 
-    def ask_beside(self, delegation: Delegation, now_ms: float) -> None:
-        """Ask shards from here as well while the peer may still bring them.
+    def hedge(self, delegation: Delegation, now_ms: float) -> None:
+        """Send subrequests from here as well while the peer may still answer them.
 
-        It may have sent each of them once, and only its word is late or lost. It is told to
-        send none again: together they would reach more upstreams than the route allows.
+        The peer may have sent each of them once, and only its acknowledgement may be late or lost.
+        It is told not to retry any of them: together, both instances would reach more upstreams
+        than the route allows.
         """
-        missing = [leg for leg in delegation.legs if not leg.is_settled]
+        missing = [subrequest for subrequest in delegation.subrequests if not subrequest.is_settled]
         if not delegation.is_shared:
             delegation.is_shared = True
-            self._actions.append(self.delegations.shared_letter(delegation))
-            for leg in missing:
-                self._legs.note_tried(leg, (None,))
-        self._legs.ask_beside(missing, delegation.lateness is Lateness.REPLY, now_ms)
-
-    def take_back(self, delegation: Delegation, why: str, now_ms: float) -> None:
-        """Ask the shards from here that a peer no longer brings."""
-        self._actions.append(self.delegations.cancel_letter(delegation))
-        self._ask_from_here(delegation, {}, why, now_ms)
-
-    def report(self, opened: OpenRequest) -> None:
-        """Bring a peer what is in at its goal, and go on with the rest.
-
-        Failure: with too few shards at the goal the peer needs some of the late ones. Given
-        up here they would be asked again, from afar, and begin anew at an upstream that may
-        be about to answer.
+            self._actions.append(self.tracker.build_shared_message(delegation))
+            for subrequest in missing:
+                self._sender.note_tried(subrequest, (None,))
+        self._sender.ask_beside(missing, delegation.lateness is Lateness.REPLY, now_ms)
+
+    def reclaim(self, delegation: Delegation, reason: str, now_ms: float) -> None:
+        """Cancel a delegation and send its unanswered subrequests from here."""
+        self._actions.append(self.tracker.build_cancel_message(delegation))
+        self._send_from_here(delegation, {}, reason, now_ms)
+
+    def send_partial_reply(self, opened: OpenRequest) -> None:
+        """Send a peer the answers available at its goal, and go on with the rest.
+
+        Failure: if too few shards have answered at the goal, the peer needs some of the late ones.
+        If they were cancelled here, the peer would send them again, over a longer distance, and
+        they would start anew at an upstream, although the first one may be about to answer.
         """
         if not opened.is_reported:
             opened.is_reported = True
-            sender_id, message = self.registry.report(opened)
+            sender_id, message = self.registry.build_partial_reply(opened)
             self._actions.append(PeerReply(sender_id, message))
 
-    def reply(self, opened: OpenRequest) -> str:
-        """Bring a peer the rest of its request, which ends; return the peer's name."""
-        sender_id, message = self.registry.take_reply(opened)
+    def send_final_reply(self, opened: OpenRequest) -> str:
+        """Send a peer the final reply to its request, which ends; return the peer's id."""
+        sender_id, message = self.registry.pop_final_reply(opened)
         self._actions.append(PeerReply(sender_id, message))
         return sender_id
 
     def cancel(self, opened: OpenRequest) -> None:
-        """Tell the peers that nobody waits for their shards any more."""
-        self._actions += self.delegations.cancel(opened)
+        """Cancel the delegations of a request and notify the peers."""
+        self._actions += self.tracker.cancel(opened)
 
-    def _ask_from_here(
+    def _send_from_here(
         self,
         delegation: Delegation,
         tried: Mapping[str, Sequence[str | None]],
-        why: str,
+        reason: str,
         now_ms: float,
     ) -> None:
-        missing = [leg for leg in delegation.legs if not leg.is_settled]
-        for leg in missing:
-            leg.is_delegated = False
-            self._legs.note_tried(leg, tried.get(leg.service, ()))
-        unasked = [leg for leg in missing if not leg.open_attempts]
-        self._legs.ask_again(delegation.opened, unasked, why, now_ms)
+        missing = [subrequest for subrequest in delegation.subrequests if not subrequest.is_settled]
+        for subrequest in missing:
+            subrequest.is_delegated = False
+            self._sender.note_tried(subrequest, tried.get(subrequest.service, ()))
+        unsent = [subrequest for subrequest in missing if not subrequest.open_attempts]
+        self._sender.ask_again(delegation.opened, unsent, reason, now_ms)
--- /dev/null
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegation_tracker.py
@@ -0,0 +1,270 @@
+from dataclasses import dataclass
+from enum import Enum
+
+from geraniumlead.forwarding.aggregator_chooser import MAX_ACK_GOAL_SHARE, MIN_GOAL_LEFT_MS
+from geraniumlead.forwarding.open_request import OpenRequest, Subrequest
+from geraniumlead.forwarding.own_delay import DelaySamples
+from geraniumlead.forwarding.wake_times import WakeTimes
+from geraniumlead.peering import (
+    DelegatedReply,
+    DelegatedRequest,
+    DelegationCancelled,
+    DelegationShared,
+    KnownPeer,
+    PeerContact,
+    PeeringMessage,
+)
+from geraniumlead.peering.peer_letter import PeerLetter
+from geraniumlead.routes import FanOut, Route
+
+REPLY_SLACK_MS = 40.0
+"""How much later than requested a peer may reply, besides the network delay and the time of its
+acknowledgement."""
+
+PEER_PROCESSING_MS = 3.0
+"""Processing time of the peer that is deducted from the goal."""
+
+LATE_REPLY_SHARE = 0.5
+"""Share of the caller's time after the goal in which a late peer may still reply. In the rest the
+caller can retry elsewhere once."""
+
+ACK_DELAY_FACTOR = 1.5
+"""Factor by which an acknowledgement may exceed the high quantile of the latest acknowledgement
+delays."""
+
+BUSY_LOOP_DELAY_MS = 5.0
+"""Lateness of a timer from which on messages may be waiting in this instance's own event loop."""
+
+
+class Lateness(Enum):
+    """What is overdue from a peer."""
+
+    NOTHING = "nothing"
+    ACKNOWLEDGEMENT = "word"
+    REPLY = "reply"
+    GIVEN_UP = "given up"
+
+
+@dataclass(slots=True)
+class Delegation:
+    """Subrequests of a request that were delegated to a peer.
+
+    ``due_ms`` is when the next message of the peer is due, ``partial_reply_due_ms`` when the
+    answers it has at its goal should be here, ``reply_due_ms`` when it is late without them. Once
+    anything is overdue, its subrequests are sent from here as well, as far as the budget allows;
+    ``is_shared`` says that the peer was told so.
+    """
+
+    number: int
+    opened: OpenRequest
+    subrequests: list[Subrequest]
+    peer: KnownPeer
+    due_ms: float
+    partial_reply_due_ms: float
+    reply_due_ms: float
+    sent_ms: float
+    is_acknowledged: bool = False
+    lateness: Lateness = Lateness.NOTHING
+    was_extended: bool = False
+    is_shared: bool = False
+
+    def subrequest_at(self, position: int) -> Subrequest | None:
+        """Return the subrequest at a position in the request to the peer; None if there is none."""
+        return self.subrequests[position] if 0 <= position < len(self.subrequests) else None
+
+
+class DelegationTracker:
+    """Tracks the subrequests delegated to peers until the peers have replied.
+
+    Failure: the peer is gone or cannot be reached. It has to acknowledge the request at once;
+    without the acknowledgement the subrequests are sent from here while the goal can still be met.
+
+    Failure: the peer is only slow, because it opens its connections or the whole fleet is busy. If
+    the delegation is given up, the peer's work is lost, the shards are queried again over cold
+    connections, and the whole budget is spent on it, so that the next queries fail. Therefore the
+    acknowledgement is awaited for as long as the latest ones took, and the peer may still reply for
+    a while after the goal.
+    """
+
+    __slots__ = ("_ack_delay", "_last_number", "_open", "_own_contact", "_reply_delay", "_wakes")
+
+    def __init__(self, own_contact: PeerContact) -> None:
+        self._own_contact = own_contact
+        self._open: dict[int, Delegation] = {}
+        self._wakes = WakeTimes()
+        self._last_number = 0
+        self._reply_delay = DelaySamples()
+        self._ack_delay = DelaySamples()
+
+    def start(
+        self, opened: OpenRequest, subrequests: list[Subrequest], peer: KnownPeer, now_ms: float
+    ) -> PeerLetter:
+        """Start a delegation; return the message that asks the peer for the shards."""
+        self._last_number += 1
+        one_way_ms = peer.usual_way_ms
+        request = opened.request
+        time_left_ms = max(0.0, opened.end_ms - now_ms - one_way_ms)
+        processing_ms = max(PEER_PROCESSING_MS, self._reply_delay.high_ms(now_ms))
+        goal_left_ms = opened.goal_ms - now_ms - 2.0 * one_way_ms - processing_ms
+        if goal_left_ms < MIN_GOAL_LEFT_MS:
+            # The goal cannot be met, so the peer gets the caller's remaining time to reach
+            # enough shards.
+            goal_left_ms = time_left_ms - one_way_ms
+        due_ms = now_ms + self._ack_timeout_ms(peer, opened.goal_ms - now_ms, now_ms)
+        partial_reply_due_ms = now_ms + goal_left_ms + 2.0 * one_way_ms
+        reply_due_ms = due_ms + goal_left_ms + REPLY_SLACK_MS
+        delegation = Delegation(
+            self._last_number,
+            opened,
+            subrequests,
+            peer,
+            due_ms,
+            partial_reply_due_ms,
+            reply_due_ms,
+            now_ms,
+        )
+        self._open[delegation.number] = delegation
+        self._wakes.add(due_ms, delegation.number)
+        peer.open_delegations += 1
+        opened.delegations.add(delegation.number)
+        message = DelegatedRequest(
+            number=delegation.number,
+            version=opened.configuration.version,
+            route=opened.route.name,
+            shards=tuple(subrequest.service for subrequest in subrequests),
+            request_id=request.request_id,
+            method=request.method,
+            host=request.host,
+            path=request.path,
+            target=request.target,
+            headers=request.headers,
+            body=request.body,
+            time_left_ms=time_left_ms,
+            goal_left_ms=goal_left_ms,
+            sender=self._own_contact,
+        )
+        return PeerLetter(peer.contact.instance_id, peer.contact.address, message)
+
+    def _ack_timeout_ms(self, peer: KnownPeer, goal_left_ms: float, now_ms: float) -> float:
+        """Return how long to wait for a peer's acknowledgement."""
+        delay_ms = ACK_DELAY_FACTOR * self._ack_delay.high_ms(now_ms)
+        expected_ms = 2.0 * peer.usual_way_ms + delay_ms
+        return max(peer.word_ms, min(expected_ms, MAX_ACK_GOAL_SHARE * goal_left_ms))
+
+    def record_acknowledgement(self, number: int, now_ms: float) -> None:
+        """Record a peer's acknowledgement; from now on it has until the goal to reply.
+
+        Failure: the peer dies after its acknowledgement. Without a second deadline the request
+        would wait for its reply until the caller gives up.
+        """
+        delegation = self._open.get(number)
+        if delegation is None or delegation.is_acknowledged:
+            return
+        delegation.is_acknowledged = True
+        ack_ms = now_ms - delegation.sent_ms
+        self._ack_delay.note(ack_ms - 2.0 * delegation.peer.usual_way_ms, now_ms)
+        if delegation.lateness is not Lateness.REPLY:
+            self._set_due(delegation, delegation.reply_due_ms)
+
+    def _set_due(self, delegation: Delegation, due_ms: float) -> None:
+        delegation.due_ms = due_ms
+        self._wakes.add(due_ms, delegation.number)
+
+    def handle_reply(self, number: int, reply: DelegatedReply, now_ms: float) -> Delegation | None:
+        """Return the delegation that a reply is for; the final reply removes it.
+
+        The delay of partial replies determines how much earlier peers have to send them.
+        """
+        if reply.is_final:
+            delegation = self.pop(number)
+            if delegation is not None and reply.is_declined:
+                delegation.peer.declined_ms = now_ms
+            return delegation
+        delegation = self._open.get(number)
+        if delegation is not None:
+            delegation.is_acknowledged = True
+            delegation.due_ms = float("inf")
+            late_ms = PEER_PROCESSING_MS + now_ms - delegation.partial_reply_due_ms
+            self._reply_delay.note(late_ms, now_ms)
+        return delegation
+
+    def pop(self, number: int) -> Delegation | None:
+        """Remove and return a delegation; None if it is not open."""
+        delegation = self._open.pop(number, None)
+        if delegation is not None:
+            delegation.peer.open_delegations -= 1
+            delegation.opened.delegations.discard(number)
+        return delegation
+
+    def cancel(self, opened: OpenRequest) -> list[PeerLetter]:
+        """Remove a request's delegations; return the cancellations to send."""
+        removed = [self.pop(number) for number in sorted(opened.delegations)]
+        return [self.build_cancel_message(found) for found in removed if found is not None]
+
+    def pop_overdue(self, now_ms: float) -> list[Delegation]:
+        """Return the delegations with an overdue message, each with its new lateness.
+
+        Those that are given up are removed.
+        """
+        overdue = []
+        while (due := self._wakes.take_due(now_ms)) is not None:
+            due_ms, number = due
+            delegation = self._open.get(number)
+            if delegation is None or delegation.due_ms != due_ms:
+                continue
+            if now_ms - due_ms > BUSY_LOOP_DELAY_MS and not delegation.was_extended:
+                # This event loop was busy, and the peer's message may be waiting in it.
+                delegation.was_extended = True
+                self._set_due(delegation, now_ms + (now_ms - due_ms))
+                continue
+            # Nothing more is delegated to the peer until it sends a message.
+            delegation.peer.silent_ms = now_ms
+            self._advance_lateness(delegation, now_ms)
+            overdue.append(delegation)
+        return overdue
+
+    def _advance_lateness(self, delegation: Delegation, now_ms: float) -> None:
+        """Advance the lateness by one step and set the deadline of the next one."""
+        if delegation.lateness is Lateness.REPLY:
+            delegation.lateness = Lateness.GIVEN_UP
+            self.pop(delegation.number)
+        elif delegation.is_acknowledged or delegation.lateness is Lateness.ACKNOWLEDGEMENT:
+            delegation.lateness = Lateness.REPLY
+            left_ms = max(0.0, delegation.opened.end_ms - now_ms)
+            self._set_due(delegation, now_ms + LATE_REPLY_SHARE * left_ms)
+        else:
+            delegation.lateness = Lateness.ACKNOWLEDGEMENT
+            self._set_due(delegation, delegation.reply_due_ms)
+
+    def next_wake_ms(self) -> float:
+        """Return when ``pop_overdue`` has to be called."""
+        return self._wakes.next_ms()
+
+    def build_shared_message(self, delegation: Delegation) -> PeerLetter:
+        """Return the message that the subrequests are sent from here as well."""
+        return self._address_message(delegation, DelegationShared(delegation.number))
+
+    def build_cancel_message(self, delegation: Delegation) -> PeerLetter:
+        """Return the message that the subrequests are no longer needed."""
+        return self._address_message(delegation, DelegationCancelled(delegation.number))
+
+    def _address_message(self, delegation: Delegation, message: PeeringMessage) -> PeerLetter:
+        contact = delegation.peer.contact
+        return PeerLetter(contact.instance_id, contact.address, message)
+
+
+def find_delegated_route(message: DelegatedRequest, configuration) -> Route | None:
+    """Return the route for a delegated request; None if the request has to be declined.
+
+    An older configuration than the sender's would serve the request by a version that the sender no
+    longer uses.
+    """
+    if configuration is None or configuration.version < message.version:
+        return None
+    route = configuration.routes.find(message.host, message.path)
+    if route is None or route.name != message.route:
+        return None
+    match route.target:
+        case FanOut(shards=shards) if set(message.shards) <= set(shards):
+            return route
+    return None
--- a/packages/geraniumlead/src/geraniumlead/forwarding/forwarder.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/forwarder.py
@@ -98,11 +98,11 @@
             case AttemptEnded(attempt_id=attempt_id, result=result):
                 self._runner.finish_attempt(attempt_id, result, now_ms)
             case PublishedUpdates():
-                self.published.take(event, now_ms)
+                self.published.handle_updates(event, now_ms)
             case StoreLost(detail=detail):
-                self.published.note_lost(detail, now_ms)
+                self.published.record_store_lost(detail, now_ms)
             case PeerHeard(sender_id=sender_id, message=message):
-                self._peers.take(sender_id, message, now_ms, self.is_ready)
+                self._peers.handle(sender_id, message, now_ms, self.is_ready)
             case ReplyWritten(took_ms=took_ms):
                 self._runner.own_delay.note_written(took_ms, now_ms)
             case TimePassed():
@@ -124,7 +124,7 @@
     def stop(self, now_ms: float) -> list[ForwardingAction]:
         """Stop taking new work; what is open goes on."""
         self.is_stopping = True
-        self._peers.say_farewell(now_ms)
+        self._peers.send_goodbye(now_ms)
         return self._take_actions()
 
     def end_all(self, now_ms: float) -> list[ForwardingAction]:
@@ -166,6 +166,6 @@
 
     def _take_actions(self) -> list[ForwardingAction]:
         """Return what is to be done; replies to peers become letters."""
-        actions = [self._peers.route(action) for action in self._actions]
+        actions = [self._peers.address_reply(action) for action in self._actions]
         self._actions.clear()
         return [action for action in actions if action is not None]
--- a/packages/geraniumlead/src/geraniumlead/forwarding/isolation_detector.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/isolation_detector.py
@@ -1,60 +1,64 @@
-"""Notice that this instance is cut off from all upstreams."""
-
-LEAST_UNREACHED = 3
-"""Upstreams to which connections have to fail: one or two may have lost power themselves."""
+MIN_UNREACHABLE = 3
+"""Unreachable upstreams from which on an instance may count as isolated: one or two may have lost
+power themselves."""
 
 ISOLATED_AFTER_MS = 500.0
-"""Time without any answer from anywhere after which this instance counts as cut off. One that
+"""Time without an answer from any upstream after which this instance counts as isolated. One that
 serves callers gets an answer about every ten milliseconds."""
 
-LOOK_AGAIN_MS = 1_500.0
-"""Time after the last failed connection at which requests are sent again."""
+RESUME_AFTER_MS = 1_500.0
+"""Time after the last failed connection at which requests are sent normally again."""
 
-PROBE_MS = 250.0
-"""Time between two requests that are sent all the same while it is cut off."""
+PROBE_INTERVAL_MS = 250.0
+"""Interval between the probes, which are requests sent while the instance is isolated."""
 
 
 class IsolationDetector:
-    """Count the upstreams that cannot be reached since the last answer from any of them.
+    """Detects that this instance is isolated: that it can reach no upstream.
+
+    It counts the upstreams to which connections have failed since the last answer from any of them.
 
-    Load pattern: an instance loses its way to all upstreams, and callers still reach it. It
-    held them until they gave up; refused at once, truly not run, they come back by another
-    connection, to an instance that can serve them. One request at a time is sent all the
-    same, to find out if the cut has ended.
+    Load pattern: an instance loses its connection to all upstreams, while callers still reach it.
+    If it keeps their requests, they wait until they time out. If it refuses them at once, with
+    nothing executed, they retry over another connection and reach an instance that can serve them.
+    One request at a time is still sent as a probe, to find out whether the isolation has ended.
 
-    Slow answers alone are no sign of it: connections have to fail as well.
+    Slow answers alone do not mean isolation: connections have to fail as well.
     """
 
-    __slots__ = ("_answered_ms", "_failed_ms", "_probed_ms", "_unreached_ids")
+    __slots__ = ("_answered_ms", "_failed_ms", "_probed_ms", "_unreachable_ids")
 
     def __init__(self) -> None:
         self._answered_ms = float("-inf")
         self._failed_ms = float("-inf")
         self._probed_ms = float("-inf")
-        self._unreached_ids: set[str] = set()
+        self._unreachable_ids: set[str] = set()
 
-    def note_answer(self, now_ms: float) -> None:
-        """Note that anything came from an upstream, be it a refusal."""
+    def record_answer(self, now_ms: float) -> None:
+        """Record any answer from an upstream, including a refusal."""
         self._answered_ms = now_ms
-        self._unreached_ids.clear()
+        self._unreachable_ids.clear()
 
-    def note_unreached(self, upstream_id: str, now_ms: float) -> None:
-        """Note a connection to which nobody answered, where a living machine accepts or refuses."""
-        self._unreached_ids.add(upstream_id)
+    def record_unreachable(self, upstream_id: str, now_ms: float) -> None:
+        """Record a connection timeout; a running machine would accept or refuse the connection."""
+        self._unreachable_ids.add(upstream_id)
         self._failed_ms = now_ms
 
     def is_isolated(self, now_ms: float) -> bool:
-        """Return whether connections fail, and for a while nothing came from anywhere."""
-        if len(self._unreached_ids) < LEAST_UNREACHED:
+        """Return whether connections fail and no upstream has answered for a while."""
+        if len(self._unreachable_ids) < MIN_UNREACHABLE:
             return False
         is_quiet = now_ms - self._answered_ms >= ISOLATED_AFTER_MS
-        return is_quiet and now_ms - self._failed_ms < LOOK_AGAIN_MS
+        return is_quiet and now_ms - self._failed_ms < RESUME_AFTER_MS
+
+    def should_refuse(self, now_ms: float) -> bool:
+        """Return whether a request has to be refused because no upstream can be reached.
 
-    def is_useless(self, now_ms: float) -> bool:
-        """Return whether a request would only wait; False for one that is to look."""
+        At intervals it returns False for one request, which is sent as a probe.
+        """
         if not self.is_isolated(now_ms):
             return False
-        if now_ms - self._probed_ms >= PROBE_MS:
+        if now_ms - self._probed_ms >= PROBE_INTERVAL_MS:
             self._probed_ms = now_ms
             return False
         return True
--- a/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
@@ -1,7 +1,5 @@
-"""Turn what peers say into calls of the decisions, and their outcomes into letters."""
-
 from geraniumlead.forwarding.actions import ForwardingAction, LogDecision, PeerReply
-from geraniumlead.forwarding.delegations import Lateness, find_delegated_route
+from geraniumlead.forwarding.delegation_tracker import Lateness, find_delegated_route
 from geraniumlead.forwarding.published_state import PublishedState
 from geraniumlead.forwarding.request_runner import RequestRunner
 from geraniumlead.peering import (
@@ -18,22 +16,26 @@
 )
 from geraniumlead.peering.peer_letter import PeerLetter
 
-MOST_TOLD = 40
-"""Peers that are told of a crash: all of today's. In larger fleets each of them tells others
-when the request comes again there, so it is stopped after one more crash at most."""
+MAX_NOTIFIED_PEERS = 40
+"""Maximum number of peers that are notified of a crash; it covers all peers of present fleets. In
+larger fleets each of them notifies others when it gets the request, so that the request is refused
+after one more crash at most."""
 
-MOST_LOGGED = 20
-"""Names of live peers in one line of the log; of a larger fleet the line tells the count."""
+MAX_LOGGED_PEERS = 20
+"""Maximum number of live peers named in a log entry; it always has their count."""
 
-COUNT_MS = 500.0
-"""Time between two counts of the instances that live: they look at every peer, and a peer counts
+COUNT_INTERVAL_MS = 500.0
+"""Interval at which the live instances are counted: counting looks at every peer, and a peer counts
 as gone only after seconds."""
 
 
 class PeerMessageHandler:
-    """Keep in touch with peers, and serve what they ask for."""
+    """Handles the messages of peers, and sends them what is due.
+
+    It starts the requests that peers delegate to this instance.
+    """
 
-    __slots__ = ("_actions", "_count_due_ms", "_counted", "_published", "_runner", "directory")
+    __slots__ = ("_actions", "_count_due_ms", "_last_counted", "_published", "_runner", "directory")
 
     def __init__(
         self,
@@ -45,42 +47,48 @@
         self._runner = runner
         self._published = published
         self._actions = actions
-        self._counted: tuple[int, list[str]] = (0, [])
+        self._last_counted: tuple[int, list[str]] = (0, [])
         self._count_due_ms = float("-inf")
         self.directory = directory
 
-    def take(self, sender_id: str, message: PeeringMessage, now_ms: float, is_ready: bool) -> None:
-        """Take in one message."""
+    def handle(
+        self, sender_id: str, message: PeeringMessage, now_ms: float, is_ready: bool
+    ) -> None:
+        """Handle one message of a peer."""
         match message:
             case Hello():
                 for peer in self.directory.hear(message, now_ms):
-                    letter = self.directory.greet(peer, self._version(), is_ready, now_ms)
-                    self._actions.append(letter)
+                    greeting = self.directory.greet(
+                        peer, self._configuration_version(), is_ready, now_ms
+                    )
+                    self._actions.append(greeting)
             case Farewell():
                 self.directory.take_farewell(sender_id, message)
             case DelegatedRequest():
-                self._serve(sender_id, message, now_ms, is_ready)
+                self._serve_delegated(sender_id, message, now_ms, is_ready)
             case DelegationTaken(number=number):
                 self.directory.note_response(sender_id)
-                self._runner.delegated.delegations.note_taken(number, now_ms)
+                self._runner.delegated.tracker.record_acknowledgement(number, now_ms)
             case DelegatedReply(number=number):
                 self.directory.note_response(sender_id)
-                delegation = self._runner.delegated.delegations.take_reply(number, message, now_ms)
+                delegation = self._runner.delegated.tracker.handle_reply(number, message, now_ms)
                 if delegation is not None:
                     self._runner.take_delegated(delegation, message, now_ms)
             case CrashNotice(fingerprint=fingerprint, upstream_ids=upstream_ids):
-                self._runner.crashes.hear(fingerprint, upstream_ids, now_ms)
+                self._runner.crashes.handle_notice(fingerprint, upstream_ids, now_ms)
             case DelegationCancelled() | DelegationShared():
-                self._follow_sender(sender_id, message, now_ms)
+                self._handle_delegation_change(sender_id, message, now_ms)
 
     def wake(self, now_ms: float, is_ready: bool) -> None:
-        """Say hello where it is due, and ask what peers did not take."""
-        self._actions += self.directory.take_letters(self._version(), is_ready, now_ms)
-        for delegation in self._runner.delegated.delegations.take_overdue(now_ms):
+        """Send due hellos and crash notices, handle overdue delegations and count the instances."""
+        self._actions += self.directory.take_letters(
+            self._configuration_version(), is_ready, now_ms
+        )
+        for delegation in self._runner.delegated.tracker.pop_overdue(now_ms):
             fields = {
                 "peer": delegation.peer.contact.instance_id,
                 "request_id": delegation.opened.request.request_id,
-                "waited_ms": round(now_ms - delegation.asked_ms, 1),
+                "waited_ms": round(now_ms - delegation.sent_ms, 1),
                 "late": delegation.lateness.value,
             }
             self._actions.append(LogDecision("peer_silent", fields, "warning"))
@@ -88,31 +96,34 @@
                 self._runner.take_back(delegation, "peer silent", now_ms)
             else:
                 self._runner.ask_beside(delegation, now_ms)
-        for fingerprint, upstream_ids in self._runner.crashes.take_told().items():
+        for fingerprint, upstream_ids in self._runner.crashes.drain_unsent().items():
             notice = CrashNotice(fingerprint, upstream_ids)
-            for peer in self.directory.live(now_ms)[:MOST_TOLD]:
+            for peer in self.directory.live(now_ms)[:MAX_NOTIFIED_PEERS]:
                 contact = peer.contact
                 self._actions.append(PeerLetter(contact.instance_id, contact.address, notice))
         if now_ms >= self._count_due_ms:
-            self._count_due_ms = now_ms + COUNT_MS
+            self._count_due_ms = now_ms + COUNT_INTERVAL_MS
             self._count_instances(now_ms)
 
     def next_wake_ms(self) -> float:
-        """Return when ``wake`` has something to do."""
-        return min(self.directory.next_wake_ms(), self._runner.delegated.delegations.next_wake_ms())
+        """Return when ``wake`` has to be called."""
+        return min(self.directory.next_wake_ms(), self._runner.delegated.tracker.next_wake_ms())
 
-    def say_farewell(self, now_ms: float) -> None:
-        """Tell peers that no new work is taken."""
+    def send_goodbye(self, now_ms: float) -> None:
+        """Tell peers that this instance takes no new requests."""
         self._actions += self.directory.farewells(now_ms)
 
-    def route(self, action: ForwardingAction) -> ForwardingAction | None:
-        """Give a reply to a peer its address; leave all else as it is."""
+    def address_reply(self, action: ForwardingAction) -> ForwardingAction | None:
+        """Return a reply to a peer as an addressed message, and any other action unchanged.
+
+        A reply to an unknown peer is dropped: the result is None.
+        """
         match action:
             case PeerReply(sender_id=sender_id, message=message):
-                return self._letter(sender_id, message)
+                return self._address_message(sender_id, message)
         return action
 
-    def _serve(
+    def _serve_delegated(
         self, sender_id: str, message: DelegatedRequest, now_ms: float, is_ready: bool
     ) -> None:
         if message.sender is not None:
@@ -124,39 +135,43 @@
             self._actions.append(PeerReply(sender_id, declined))
             return
         self._actions.append(PeerReply(sender_id, DelegationTaken(message.number)))
-        request = self._runner.delegated.registry.accept(sender_id, message, now_ms)
+        request = self._runner.delegated.registry.register(sender_id, message, now_ms)
         self._runner.start(request, route, configuration, now_ms)
 
-    def _follow_sender(
+    def _handle_delegation_change(
         self, sender_id: str, message: DelegationCancelled | DelegationShared, now_ms: float
     ) -> None:
-        """Take in what becomes of a request that is served for a peer."""
-        desk = self._runner.delegated.registry
+        """Handle a message about a request that its sender has delegated to this instance."""
+        registry = self._runner.delegated.registry
         match message:
             case DelegationCancelled(number=number):
-                key = desk.take_key(sender_id, number)
+                key = registry.pop_key(sender_id, number)
                 if key is not None:
                     self._runner.drop(key, now_ms)
             case DelegationShared(number=number):
-                key = desk.find_key(sender_id, number)
+                key = registry.find_key(sender_id, number)
                 if key is not None:
                     self._runner.note_shared(key)
 
     def _count_instances(self, now_ms: float) -> None:
         count = self.directory.count(now_ms)
-        live = [peer.contact.instance_id for peer in self.directory.live(now_ms)]
-        if (count, live) != self._counted:
-            self._counted = count, live
-            self._runner.set_instances(count, [*live, self.directory.own_id])
-            fields = {"instances": count, "live": len(live), "live_peers": live[:MOST_LOGGED]}
+        live_ids = [peer.contact.instance_id for peer in self.directory.live(now_ms)]
+        if (count, live_ids) != self._last_counted:
+            self._last_counted = count, live_ids
+            self._runner.set_instances(count, [*live_ids, self.directory.own_id])
+            fields = {
+                "instances": count,
+                "live": len(live_ids),
+                "live_peers": live_ids[:MAX_LOGGED_PEERS],
+            }
             self._actions.append(LogDecision("peers", fields))
 
-    def _letter(self, instance_id: str, message: PeeringMessage) -> PeerLetter | None:
+    def _address_message(self, instance_id: str, message: PeeringMessage) -> PeerLetter | None:
         peer = self.directory.peers.get(instance_id)
         if peer is None:
             return None
         return PeerLetter(instance_id, peer.contact.address, message)
 
-    def _version(self) -> int:
+    def _configuration_version(self) -> int:
         configuration = self._published.configuration
         return 0 if configuration is None else configuration.version
--- a/packages/geraniumlead/src/geraniumlead/forwarding/published_state.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/published_state.py
@@ -1,5 +1,3 @@
-"""Follow what operators and upstreams publish."""
-
 from collections import Counter
 
 from geraniumlead.fleet import FleetView, UpstreamRecord
@@ -21,26 +19,20 @@
     UpstreamWithdrawn: "upstreams_withdrawn",
 }
 
-AWAY_MS = 2_500.0
-"""Time since the store's last answer after which entries may have lapsed, if a call has failed in
-it; upstreams renew theirs each second or so, and three times unrenewed they lapse."""
+LAPSE_OUTAGE_MS = 2_500.0
+"""Time since the store's last answer after which entries may have lapsed, if a call has failed
+meanwhile. Upstreams renew their entries about once a second, and an entry lapses after three missed
+renewals."""
 
 
 class PublishedState:
-    """Hold the configuration in force and the fleet, and log each change of belief.
+    """The configuration in force and the fleet, as published by operators and upstreams.
 
-    A version only ever replaces a lower one, so neither a stale read nor a lost answer can
-    bring an old configuration back.
+    Each change of the observed state is logged. A configuration is only replaced by one with a
+    higher version, so neither a stale read nor a lost answer can bring an old one back.
     """
 
-    __slots__ = (
-        "_actions",
-        "_chooser",
-        "_fleet",
-        "_lost_since_ms",
-        "configuration",
-        "seen_ms",
-    )
+    __slots__ = ("_actions", "_chooser", "_fleet", "_lost_since_ms", "answered_ms", "configuration")
 
     def __init__(
         self, fleet: FleetView, chooser: UpstreamChooser, actions: list[ForwardingAction]
@@ -50,7 +42,7 @@
         self._actions = actions
         self._lost_since_ms: float | None = None
         self.configuration: PublishedConfiguration | None = None
-        self.seen_ms = float("-inf")
+        self.answered_ms = float("-inf")
 
     @property
     def can_serve(self) -> bool:
@@ -64,7 +56,7 @@
 
     @property
     def lacks_upstreams(self) -> bool:
-        """Return whether a service that a route leads to has no upstream that may be used."""
+        """Return whether any service of a route has no usable upstream."""
         if self.configuration is None:
             return False
         routes = self.configuration.routes
@@ -72,21 +64,21 @@
         return any(not self._fleet.usable(name) for name in names)
 
     def view_age_ms(self, now_ms: float) -> float | None:
-        """Return how old the view is at the most; None before the first reading."""
+        """Return the maximum age of the view; None before the first read."""
         return self._fleet.age_ms(now_ms)
 
-    def take(self, event: PublishedUpdates, now_ms: float) -> None:
-        """Take over what was read."""
-        self._note_answered(now_ms)
+    def handle_updates(self, event: PublishedUpdates, now_ms: float) -> None:
+        """Apply updates that were read from the store."""
+        self._record_answered(now_ms)
         self._fleet.note_read(now_ms - event.age_ms)
         if event.is_after_outage:
             self._fleet.note_platform_returned(now_ms)
         for item in event.updates:
             match item:
                 case ConfigurationSeen(configuration=configuration):
-                    self._take_configuration(configuration, now_ms)
+                    self._apply_configuration(configuration, now_ms)
                 case UpstreamSeen(record=record):
-                    self._take_upstream(record, now_ms)
+                    self._apply_upstream(record, now_ms)
                 case UpstreamWithdrawn(upstream_id=upstream_id):
                     self._withdraw(upstream_id, now_ms)
                 case EvacuationSeen(data_centre=name, is_evacuated=True):
@@ -96,16 +88,16 @@
         if event.is_snapshot:
             self._drop_missing(event, now_ms)
         if event.updates:
-            self._log_reading(event)
+            self._log_read(event)
 
-    def note_lost(self, detail: str, now_ms: float) -> None:
-        """Note that the store does not answer; what it said last stays in force."""
+    def record_store_lost(self, detail: str, now_ms: float) -> None:
+        """Record that the store does not answer; the state read last stays in force."""
         if self._lost_since_ms is None:
             self._lost_since_ms = now_ms
             self._log("store_lost", {"detail": detail, "upstreams": len(self._fleet)}, "warning")
 
     def expire(self, now_ms: float) -> None:
-        """Forget the upstreams whose entries lapsed and did not come back."""
+        """Remove the upstreams whose entries lapsed and did not come back."""
         for upstream_id in self._fleet.expire(now_ms):
             self._chooser.forget(upstream_id)
             self._log("upstream_left", {"upstream": upstream_id, "cause": "lapsed"})
@@ -115,17 +107,17 @@
         wake_ms = self._fleet.next_wake_ms()
         return float("inf") if wake_ms is None else wake_ms
 
-    def _note_answered(self, now_ms: float) -> None:
+    def _record_answered(self, now_ms: float) -> None:
         if self._lost_since_ms is not None:
-            # The store may have been silent for long before a call failed.
-            away_ms = now_ms - self.seen_ms
-            if away_ms >= AWAY_MS:
+            # The store may have been unavailable for long before a call failed.
+            outage_ms = now_ms - self.answered_ms
+            if outage_ms >= LAPSE_OUTAGE_MS:
                 self._fleet.note_platform_returned(now_ms)
             self._log("store_regained", {"away_ms": round(now_ms - self._lost_since_ms)})
             self._lost_since_ms = None
-        self.seen_ms = now_ms
+        self.answered_ms = now_ms
 
-    def _take_configuration(self, found: PublishedConfiguration, now_ms: float) -> None:
+    def _apply_configuration(self, found: PublishedConfiguration, now_ms: float) -> None:
         current = self.configuration
         if current is not None and found.version <= current.version:
             return
@@ -133,16 +125,16 @@
         before = None if current is None else current.version
         self._log("configuration", {"version": found.version, "before": before})
 
-    def _take_upstream(self, record: UpstreamRecord, now_ms: float) -> None:
+    def _apply_upstream(self, record: UpstreamRecord, now_ms: float) -> None:
         before = self._fleet.put(record)
         if before is not None and before.is_same_life(record):
-            self._chooser.cold.note_cold(record.upstream_id, record.cold_left_ms, now_ms)
+            self._chooser.cold_limiter.record_cold(record.upstream_id, record.cold_left_ms, now_ms)
             if before.is_ready != record.is_ready:
                 fields = {"upstream": record.upstream_id, "ready": record.is_ready}
                 self._log("upstream_changed", fields)
             return
         self._chooser.forget(record.upstream_id)
-        self._chooser.cold.note_cold(record.upstream_id, record.cold_left_ms, now_ms)
+        self._chooser.cold_limiter.record_cold(record.upstream_id, record.cold_left_ms, now_ms)
         fields = {
             "upstream": record.upstream_id,
             "service": record.service,
@@ -162,21 +154,22 @@
             return
         returned = self._fleet.evacuated - names
         self._fleet.set_evacuated(names)
-        self._note_returned(returned, now_ms)
+        self._mark_returned_cold(returned, now_ms)
         self._log("evacuated", {"data_centres": sorted(names)})
 
-    def _note_returned(self, data_centres: frozenset[str], now_ms: float) -> None:
-        """Take the upstreams of data centres that are back for cold.
+    def _mark_returned_cold(self, data_centres: frozenset[str], now_ms: float) -> None:
+        """Treat the upstreams of data centres that are back in service as cold.
 
-        Failure: without requests their caches emptied, and what they publish of it comes a
-        heartbeat later. Taken for warm, they would crash under the load that waits for them.
+        Failure: without requests their caches were emptied, but they publish this only with their
+        next heartbeat. If they were treated as warm, they would crash under the load that waits for
+        them.
         """
         services = {} if self.configuration is None else self.configuration.services
         for upstream_id in self._fleet.ids() if data_centres else ():
             record = self._fleet.get(upstream_id)
             service = services.get(record.service)
             if record.data_centre in data_centres and service is not None:
-                self._chooser.cold.note_cold(upstream_id, service.cold_ms, now_ms)
+                self._chooser.cold_limiter.record_cold(upstream_id, service.cold_ms, now_ms)
 
     def _drop_missing(self, event: PublishedUpdates, now_ms: float) -> None:
         listed = {
@@ -191,8 +184,8 @@
         )
         self._set_evacuated(evacuated, now_ms)
 
-    def _log_reading(self, event: PublishedUpdates) -> None:
-        """Tell of a reading in one line, for those of single upstreams may be left out."""
+    def _log_read(self, event: PublishedUpdates) -> None:
+        """Log one summary of a read, since the entries for single upstreams may be omitted."""
         fields = {
             "source": event.source,
             "age_ms": round(event.age_ms, 1),
--- a/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
@@ -10,8 +10,8 @@
 from geraniumlead.forwarding.crash_refusal import refuse_crashing
 from geraniumlead.forwarding.crash_tracker import CrashTracker
 from geraniumlead.forwarding.delegated_subrequests import DelegatedSubrequests
-from geraniumlead.forwarding.delegation_plan import DelegationPlan
-from geraniumlead.forwarding.delegations import Delegation
+from geraniumlead.forwarding.delegation_planner import DelegationPlanner
+from geraniumlead.forwarding.delegation_tracker import Delegation
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
 from geraniumlead.forwarding.open_request import OpenRequest, Subrequest
 from geraniumlead.forwarding.own_delay import OwnDelay
@@ -65,7 +65,7 @@
         self._book = AttemptTracker(settings, fleet, random, actions)
         self.crashes = CrashTracker()
         self._legs = SubrequestSender(self._book, self.crashes)
-        plan = DelegationPlan(settings, fleet, directory, random)
+        plan = DelegationPlanner(settings, fleet, directory, random)
         self.delegated = DelegatedSubrequests(plan, self._legs, actions, directory.own_contact)
         self._open: dict[int, OpenRequest] = {}
         self._wakes = WakeTimes()
@@ -119,10 +119,10 @@
             # Known before anything is sent, so this refusal is true and early.
             self._finish(opened, "no_upstream", now_ms)
             return
-        if not request.is_delegated and self._book.isolation.is_useless(now_ms):
+        if not request.is_delegated and self._book.isolation.should_refuse(now_ms):
             self._finish(opened, "unreachable", now_ms)
             return
-        chosen = self.delegated.pass_on(opened, chosen, now_ms)
+        chosen = self.delegated.delegate(opened, chosen, now_ms)
         self._legs.record_first(opened, now_ms)
         for leg, upstream in chosen:
             self._book.send(leg, upstream, now_ms)
@@ -133,17 +133,17 @@
 
     def take_delegated(self, delegation: Delegation, reply: DelegatedReply, now_ms: float) -> None:
         """Take in what a peer brought for the shards that it was asked to ask."""
-        self.delegated.take_reply(delegation, reply, now_ms)
+        self.delegated.handle_reply(delegation, reply, now_ms)
         self._go_on(delegation.opened, now_ms)
 
     def ask_beside(self, delegation: Delegation, now_ms: float) -> None:
         """Ask shards from here as well of which a peer has not said that it asks them."""
-        self.delegated.ask_beside(delegation, now_ms)
+        self.delegated.hedge(delegation, now_ms)
         self._go_on(delegation.opened, now_ms)
 
     def take_back(self, delegation: Delegation, why: str, now_ms: float) -> None:
         """Ask the shards from here of which a peer said nothing."""
-        self.delegated.take_back(delegation, why, now_ms)
+        self.delegated.reclaim(delegation, why, now_ms)
         self._go_on(delegation.opened, now_ms)
 
     def finish_attempt(self, attempt_id: int, result: AttemptResult, now_ms: float) -> None:
@@ -262,7 +262,7 @@
             and opened.request.is_delegated
             and opened.settled < len(opened.subrequests)
         ):
-            self.delegated.report(opened)
+            self.delegated.send_partial_reply(opened)
             return False
         if opened.settled == len(opened.subrequests) or (is_over_goal and opened.has_enough):
             self._finish(opened, "answered" if opened.has_enough else opened.first_failure, now_ms)
@@ -279,11 +279,11 @@
             leg.may_have_run = leg.may_have_run or bool(leg.open_attempts)
         self._cancel_all(opened, now_ms)
         if opened.request.is_delegated:
-            sender_id = self.delegated.reply(opened)
+            sender_id = self.delegated.send_final_reply(opened)
             self._log(opened, f"for {sender_id}", None, now_ms)
             return
         if self.crashes and not opened.answered:
-            self.crashes.note_ended(opened.request.fingerprint)
+            self.crashes.record_ended(opened.request.fingerprint)
         reply = decide_reply(opened, reason, self._retry_after.draw())
         self._actions.append(SendReply(opened.request.key, reply))
         self._log(opened, reason, reply, now_ms)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/subrequest_sender.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/subrequest_sender.py
@@ -131,7 +131,7 @@
             ):
                 leg.may_have_run = True
                 if self._crashes:
-                    self._crashes.note_answered(opened.request.fingerprint)
+                    self._crashes.record_answered(opened.request.fingerprint)
                 if len(leg.tried) > 1 or now_ms > opened.goal_ms:
                     what = f"answered after {now_ms - attempt.sent_ms:.0f} ms"
                     opened.note(leg, upstream_id, what, now_ms)
@@ -152,7 +152,7 @@
                 leg.may_have_run = True
                 if is_lost and not opened.answered:
                     fingerprint = opened.request.fingerprint
-                    self._crashes.note_lost(fingerprint, upstream_id, now_ms)
+                    self._crashes.record_lost(fingerprint, upstream_id, now_ms)
                 why = f"lost: {detail}"
         opened.note(leg, upstream_id, why, now_ms)
         self._follow_failure(leg, result, why, now_ms)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/updates.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/updates.py
@@ -1,4 +1,4 @@
-"""Define what may be learnt from the platform's store."""
+"""The updates that may be read from the platform's store."""
 
 from dataclasses import dataclass
 
@@ -8,28 +8,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationSeen:
-    """A version of the configuration stands in the store."""
+    """A version of the configuration is in the store."""
 
     configuration: PublishedConfiguration
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamSeen:
-    """An upstream published itself."""
+    """An upstream has published its record."""
 
     record: UpstreamRecord
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamWithdrawn:
-    """An upstream's entry is gone, or names none that can be used."""
+    """An upstream's entry is gone, or does not describe a usable upstream."""
 
     upstream_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class EvacuationSeen:
-    """Operators ask that a data centre's upstreams get nothing, or take that back."""
+    """Operators took a data centre's upstreams out of service, or put them back."""
 
     data_centre: str
     is_evacuated: bool
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_cold_rates.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_cold_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Test that all instances together send a cold upstream no more than it takes."""
+"""Test that all instances together send a cold upstream no more than it can take."""
 
 from unittest import TestCase
 
@@ -21,9 +21,9 @@
 COLD_MS = 3_000.0
 
 
-class ColdRateTests(TestCase):
+class ColdRateLimiterTests(TestCase):
     def build(self, count: int, **upstreams: float) -> list[ForwarderHarness]:
-        """Return instances that know each other, with upstreams by name and cold time."""
+        """Return instances that know each other, with upstreams given by id and cold time."""
         names = [f"entry-{number}" for number in range(count)]
         route = build_route(priority=1)
         service = UpstreamService("reader", 500, RATE_PER_S, COLD_MS)
@@ -42,7 +42,7 @@
         return fleet
 
     def send_for(self, fleet: list[ForwarderHarness], seconds: float) -> list[tuple[float, str]]:
-        """Let each instance have fifty requests a second; return when each was sent where."""
+        """Send each instance fifty requests a second; return when and where each was forwarded."""
         sent: list[tuple[float, str]] = []
         begin_ms = fleet[0].now_ms
         while fleet[0].now_ms < begin_ms + seconds * 1000.0:
@@ -58,11 +58,11 @@
         times = [at_ms for at_ms, name in sent if name == upstream_id]
         return max((sum(1 for t in times if a <= t < a + 1000.0) for a in times), default=0)
 
-    def test_few_and_many_instances_keep_the_bound_together(self):
-        """An upstream starts, and instances with hundreds of requests a second find it idle.
+    def test_few_and_many_instances_keep_the_limit_together(self):
+        """An upstream starts, and instances with hundreds of requests a second see it idle.
 
-        With more than its few it crashes, starts again, and is cold again: callers see it
-        come and go for as long as the load lasts.
+        With more than the few requests that it can take it crashes, restarts, and is cold again:
+        callers see it come and go for as long as the load lasts.
         """
         for count in (2, 7, 40):
             with self.subTest(instances=count):
@@ -71,17 +71,17 @@
                 self.assertLessEqual(most, MOST_PER_S)
                 self.assertGreaterEqual(most, 2)
 
-    def test_it_takes_its_full_part_when_it_is_warm(self):
+    def test_a_warm_upstream_gets_its_full_load(self):
         (harness,) = self.build(1, cold=500.0)
         self.assertEqual(1, len(harness.ask(1)))
         self.send_for([harness], 1.0)
         sent = self.send_for([harness], 1.0)
         self.assertGreater(self.most_in_a_second(sent, "cold"), 2 * MOST_PER_S)
 
-    def test_a_data_centre_that_comes_back_is_taken_for_cold(self):
-        """Its upstreams got nothing for a while, and what they publish lags.
+    def test_a_data_centre_that_comes_back_is_treated_as_cold(self):
+        """The upstreams of a data centre were out of service, and the state they publish lags.
 
-        Requests waited for their return; sent at once, they would crash all of them.
+        Requests waited for their return; sent all at once, they would crash all of the upstreams.
         """
         (harness,) = self.build(1, back=0.0)
         out = PublishedUpdates((EvacuationSeen("noord-a", True),), is_snapshot=False)
@@ -92,7 +92,9 @@
         self.assertLessEqual(self.most_in_a_second(sent, "back"), MOST_PER_S)
         self.assertGreater(len(sent), 5)
 
-    def test_upstreams_that_only_are_slower_take_everything(self):
+    def test_cold_upstreams_without_a_rate_limit_may_get_any_request(self):
         (harness,) = self.build(1, cold=COLD_MS)
         service = UpstreamService("reader", 500, 0.0, COLD_MS)
-        self.assertTrue(harness.forwarder._runner.chooser.cold.may_send("cold", service, 0.0))
+        self.assertTrue(
+            harness.forwarder._runner.chooser.cold_limiter.may_send("cold", service, 0.0)
+        )
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_crash_book.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_crash_tracker.py
@@ -1,4 +1,4 @@
-"""Test requests that crash their upstreams."""
+"""Test requests that crash upstreams."""
 
 from unittest import TestCase
 
@@ -12,7 +12,7 @@
 )
 from core_tests.forwarding.harness import ForwarderHarness
 from geraniumlead.forwarding import PeerHeard, PossiblyExecuted
-from geraniumlead.forwarding.crash_tracker import QUARANTINE_MS, STRIKES
+from geraniumlead.forwarding.crash_tracker import MAX_STRIKES, QUARANTINE_MS
 from geraniumlead.peering import CrashNotice
 
 LOST = PossiblyExecuted("reset", is_connection_lost=True)
@@ -28,7 +28,7 @@
         self.harness.handle(build_news(configuration, *records))
 
     def crash(self, key: int) -> int:
-        """Send the same request once more; return how many upstreams it took down."""
+        """Send the same request once more; return how many upstreams it crashed."""
         started = self.harness.ask(key)
         count = 0
         while started:
@@ -36,33 +36,33 @@
             started += self.harness.end(started.pop(0), LOST)
         return count
 
-    def test_a_request_that_crashed_three_upstreams_is_sent_no_more(self):
-        """Its caller sends it again and again, each time under a new id.
+    def test_a_request_that_crashed_three_upstreams_is_refused(self):
+        """A caller retries a crashing request, each time under a new id.
 
-        Each try would take one or two more upstreams away from everybody else for seconds.
+        Each attempt would make one or two more upstreams unavailable to all others for seconds.
         """
         crashed = sum(self.crash(key) for key in range(1, 10))
-        self.assertEqual(STRIKES, crashed)
+        self.assertEqual(MAX_STRIKES, crashed)
         reply = self.harness.replies[9]
         self.assertEqual((503, QUARANTINE_MS), (reply.status, reply.retry_after_ms))
 
-    def test_other_requests_go_on(self):
+    def test_other_requests_are_still_sent(self):
         for key in range(1, 4):
             self.crash(key)
         self.assertEqual(1, len(self.harness.ask(9, target="/pages/2", path="/pages/2")))
 
-    def test_an_answer_clears_a_victim_of_others(self):
+    def test_an_answer_clears_the_strikes_of_a_request(self):
         self.crash(1)
         (attempt,) = self.harness.ask(2)
         self.harness.end(attempt, build_answer())
         self.crash(3)
         self.assertEqual(1, len(self.harness.ask(4)))
 
-    def test_queries_that_lose_some_shards_in_a_power_loss_are_no_suspects(self):
+    def test_queries_that_lose_some_shards_in_a_power_loss_are_not_refused(self):
         """Half of all upstreams lose power, and every query in flight loses several shards.
 
-        The other shards answer, so the queries are cleared; callers' most frequent queries
-        are not refused for a minute because of what happened to the upstreams.
+        The other shards answer, which clears the queries. Otherwise the most frequent queries would
+        be refused for a minute because of the power loss.
         """
         attempts = self.harness.ask(1, path="/all/1", target="/all/1")
         for attempt in attempts[:3]:
@@ -76,7 +76,7 @@
         self.harness.handle(PeerHeard("entry-2", notice))
         self.assertEqual([], self.harness.ask(2))
 
-    def test_one_more_try_after_the_time_is_over(self):
+    def test_one_more_attempt_is_allowed_after_the_quarantine(self):
         for key in range(1, 4):
             self.crash(key)
         self.harness.run_until(QUARANTINE_MS + 1_000.0)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_delegation.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_delegation.py
@@ -1,4 +1,4 @@
-"""Test shards that a peer beside their upstreams asks, between two forwarders."""
+"""Test shards that are delegated to a peer in their region, with two forwarders."""
 
 from unittest import TestCase
 
@@ -28,7 +28,7 @@
 
 
 class TwoInstances(TestCase):
-    """Hold an instance without upstreams of four shards in its region, and one beside them."""
+    """Two instances: one has no upstream of four shards in its region, the other is in theirs."""
 
     def setUp(self):
         self.near = ForwarderHarness(build_settings(NEAR, address="10.1.0.1:1"))
@@ -39,9 +39,9 @@
         shards = route.services()
         records = [build_record("near", shards[0])]
         records += [build_record(f"far.{name}", name, data_centre="midden-a") for name in shards]
-        self.news = build_news(build_configuration(route), *records)
+        self.updates = build_news(build_configuration(route), *records)
         for harness in (self.near, self.far):
-            harness.handle(self.news)
+            harness.handle(self.updates)
         self.run_both_until(3_000.0)
 
     def run_both_until(self, until_ms: float) -> None:
@@ -51,22 +51,22 @@
             self.deliver()
 
     def deliver(self) -> None:
-        """Pass all letters on, through the codec."""
+        """Deliver all messages, encoded and decoded by the codec."""
         by_address = {"10.1.0.1:1": self.near, "10.2.0.1:1": self.far}
         while self.near.letters or self.far.letters:
             for sender_id, harness in ((NEAR, self.near), (FAR, self.far)):
-                letters, harness.letters = harness.letters, []
-                for letter in letters:
-                    message = decode_peering(encode_peering(letter.message))
-                    by_address[letter.address].handle(PeerHeard(sender_id, message))
+                messages, harness.letters = harness.letters, []
+                for outgoing in messages:
+                    message = decode_peering(encode_peering(outgoing.message))
+                    by_address[outgoing.address].handle(PeerHeard(sender_id, message))
 
-    def find_letters(self, harness: ForwarderHarness, kind: type) -> list:
-        return [letter for letter in harness.letters if isinstance(letter.message, kind)]
+    def find_messages(self, harness: ForwarderHarness, kind: type) -> list:
+        return [outgoing for outgoing in harness.letters if isinstance(outgoing.message, kind)]
 
-    def test_far_shards_cost_one_message_and_all_parts_come_back(self):
+    def test_far_shards_cost_one_message_and_the_reply_is_complete(self):
         (attempt,) = self.near.ask()
         self.assertEqual("shard-0", attempt.upstream.service)
-        self.assertEqual(1, len(self.find_letters(self.near, DelegatedRequest)))
+        self.assertEqual(1, len(self.find_messages(self.near, DelegatedRequest)))
         self.deliver()
         self.assertEqual(4, len(self.far.started))
         for started in self.far.started:
@@ -79,9 +79,10 @@
         self.assertEqual(0, reply.missing)
 
     def test_shards_without_a_common_region_still_go_with_one_message_for_most(self):
-        """Four shards are in one other region only, and one in a third region.
+        """Four shards are only in one other region, and one is only in a third region.
 
-        With a peer sought for all five none fits, and each would cross the regions by itself.
+        If one peer had to serve all five, none would qualify, and each shard would be queried
+        across the regions separately.
         """
         route = build_fan_out(shard_count=5)
         places = ["zuid-a", *["midden-a"] * 4]
@@ -94,14 +95,14 @@
         self.run_both_until(self.near.now_ms + 1_500.0)
         (attempt,) = self.near.ask()
         self.assertEqual("only.shard-0", attempt.upstream.upstream_id)
-        (letter,) = self.find_letters(self.near, DelegatedRequest)
-        self.assertEqual(route.services()[1:], letter.message.shards)
+        (outgoing,) = self.find_messages(self.near, DelegatedRequest)
+        self.assertEqual(route.services()[1:], outgoing.message.shards)
 
-    def test_a_part_earns_second_sendings_once_in_the_whole_fleet(self):
-        """A peer asks the shards of an instance, and both keep a budget of second sendings.
+    def test_a_subrequest_earns_extra_attempts_once_in_the_whole_fleet(self):
+        """An instance delegates shards to a peer, and both keep a budget of extra attempts.
 
-        Counted at both, each shard earned twice, and when upstreams turned slow the service
-        got more than its bound of repeated requests.
+        If both counted a shard, it would earn budget twice, and when upstreams become slow the
+        service would get more repeated requests than its limit.
         """
         self.near.ask()
         self.deliver()
@@ -111,10 +112,10 @@
             self.assertEqual(1, sum(firsts), number)
 
     def test_a_silent_peer_is_replaced_before_the_goal(self):
-        """The peer loses power, and nobody knows yet.
+        """The peer loses power, and no instance has noticed yet.
 
-        Its word that it took the request stays out; the shards are asked from here within a
-        tenth of a second, and later queries do not wait for it again.
+        It does not acknowledge the request. The shards are queried from here within a tenth of a
+        second, and later queries do not wait for the peer again.
         """
         self.near.ask()
         started = self.near.run_until(self.near.now_ms + 150.0)
@@ -123,11 +124,11 @@
         self.near.letters.clear()
         self.assertEqual(5, len(self.near.ask(2)))
 
-    def test_a_peer_whose_word_would_come_too_late_gets_nothing(self):
-        """The way to the peer has become so long that its silence would show after the goal.
+    def test_a_peer_whose_acknowledgement_would_be_too_late_gets_nothing(self):
+        """The network delay to a peer has grown: its silence would be noticed after the goal.
 
-        If it then fails, every request that was passed to it is late; asked from here, a far
-        shard costs one way there and back.
+        If the peer then fails, every request delegated to it is late; queried from here, a far
+        shard costs one round trip.
         """
         peer = self.near.forwarder._peers.directory.peers[FAR]
         for _ in range(WAY_SAMPLES):
@@ -147,11 +148,11 @@
         self.near.ask()
         self.deliver()
         self.near.leave(1)
-        self.assertEqual(1, len(self.find_letters(self.near, DelegationCancelled)))
+        self.assertEqual(1, len(self.find_messages(self.near, DelegationCancelled)))
         self.deliver()
         self.assertEqual(4, len(self.far.cancelled))
 
-    def test_what_the_peer_could_not_get_is_counted_as_missing(self):
+    def test_shards_that_the_peer_did_not_get_are_counted_as_missing(self):
         (attempt,) = self.near.ask()
         self.near.end(attempt, build_answer(HIGH, signature="shard-0"))
         self.deliver()
@@ -160,11 +161,11 @@
         self.run_both_until(self.near.now_ms + 350.0)
         self.assertEqual(1, self.near.replies[1].missing)
 
-    def test_a_late_part_still_comes_when_the_others_are_not_enough(self):
-        """Two of five shards are late, and at the goal the rest is not enough.
+    def test_a_late_shard_is_awaited_if_the_others_are_not_enough(self):
+        """Two of five shards are late, and at the goal the others are not enough.
 
-        The peer brings what is in and waits on. Had it given up, the caller would wait for
-        both to begin anew, or get nothing when the budget of repeats is spent.
+        The peer sends the answers it has and waits on. If it gave up, the caller would wait for
+        both shards to start anew, or get nothing once the budget of extra attempts is spent.
         """
         route = build_fan_out(shard_count=5, least_share=0.8)
         records = [build_record("near", "shard-0")]
@@ -189,10 +190,10 @@
         self.assertEqual(1, self.near.replies[1].missing)
         self.assertEqual(4, len(set(self.near.replies[1].signatures)))
 
-    def test_sendings_of_a_peer_count_against_the_upstreams_of_a_request(self):
-        """A route allows one upstream a shard; the peer's try fails.
+    def test_attempts_of_a_peer_count_against_the_upstreams_of_a_request(self):
+        """A route allows one upstream for each shard, and the peer's attempt fails.
 
-        Asked again from here, the request would run on two.
+        Sent again from here, the request would run on two upstreams.
         """
         route = build_fan_out(shard_count=5, most_upstreams=1)
         records = [build_record("near", "shard-0")]
@@ -212,11 +213,11 @@
         self.run_both_until(self.near.now_ms + 900.0)
         self.assertEqual(1, len(self.near.started))
 
-    def test_a_peer_that_dies_after_its_word_is_replaced_at_the_goal(self):
-        """The peer says that it serves the request, and loses power.
+    def test_a_peer_that_dies_after_its_acknowledgement_is_replaced_at_the_goal(self):
+        """The peer acknowledges the request and then loses power.
 
-        Its reply never comes. The caller still waits a while, so the shards are asked from
-        here instead of letting it wait for nothing.
+        Its reply never arrives. The caller still waits for a while, so the shards are queried from
+        here.
         """
         self.near.ask()
         self.deliver()
@@ -225,10 +226,10 @@
         services = {attempt.upstream.service for attempt in started}
         self.assertLessEqual({f"shard-{number}" for number in range(1, 5)}, services)
 
-    def test_a_query_that_is_late_already_is_answered_with_enough(self):
-        """A caller repeats after its goal has passed.
+    def test_a_query_that_is_late_already_waits_for_enough_shards(self):
+        """A caller retries after its goal has passed.
 
-        With a goal in the past the peer would answer at once, with nothing in its hands.
+        With a goal in the past the peer would reply at once, without any answers.
         """
         self.near.ask(1, wait_ms=1_000.0)
         self.deliver()
@@ -236,10 +237,10 @@
         self.deliver()
         taken = [self.far.started[index] for index in range(4, 8)]
         self.assertEqual(8, len(self.far.started))
-        self.assertEqual([], self.find_letters(self.far, DelegatedReply))
+        self.assertEqual([], self.find_messages(self.far, DelegatedReply))
         for started in taken:
             self.far.end(started, build_answer(HIGH, signature=started.upstream.service))
-        self.assertEqual(1, len(self.find_letters(self.far, DelegatedReply)))
+        self.assertEqual(1, len(self.find_messages(self.far, DelegatedReply)))
 
     def test_a_stopping_peer_gets_nothing(self):
         self.far.take(self.far.forwarder.stop(self.far.now_ms))
@@ -247,9 +248,10 @@
         self.assertEqual(5, len(self.near.ask()))
 
     def test_a_peer_that_has_just_started_gets_nothing(self):
-        """The peer starts again, says so, and opens its connections to all upstreams.
+        """The peer restarts, announces it, and opens its connections to all upstreams.
 
-        Shards that were passed to it in its first second waited for its word in vain.
+        Shards that are delegated to it in its first second would wait for its acknowledgement in
+        vain.
         """
         directory = self.far.forwarder._peers.directory
         directory._incarnation += 1
@@ -261,21 +263,22 @@
         self.run_both_until(self.near.now_ms + 1_100.0)
         self.assertEqual(1, len(self.near.ask(2)))
 
-    def test_a_peer_that_hears_nothing_gets_nothing(self):
-        """Messages pass from the peer to here, but not back.
+    def test_a_peer_that_receives_no_messages_gets_nothing(self):
+        """Messages arrive from the peer, but not at it.
 
-        Its hellos show that it lives; without the echo each query would wait in vain.
+        Its hellos show that it is running; if their echo were ignored, each query would wait in
+        vain.
         """
         for _ in range(6):
             self.near.run_until(self.near.now_ms + 1_000.0)
             self.near.letters.clear()
             self.far.run_until(self.far.now_ms + 1_000.0)
-            letters, self.far.letters = self.far.letters, []
-            for letter in letters:
-                self.near.handle(PeerHeard(FAR, letter.message))
+            messages, self.far.letters = self.far.letters, []
+            for outgoing in messages:
+                self.near.handle(PeerHeard(FAR, outgoing.message))
         self.assertEqual(5, len(self.near.ask()))
 
-    def test_a_duplicate_word_or_reply_changes_nothing(self):
+    def test_a_duplicate_acknowledgement_or_reply_changes_nothing(self):
         self.near.ask()
         self.deliver()
         self.near.handle(PeerHeard(FAR, DelegationTaken(1)))
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_far_blocks.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_far_shard_groups.py
@@ -1,4 +1,4 @@
-"""Test queries over many shards of which each is in two of three regions only."""
+"""Test queries over many shards, each of which is in two of three regions only."""
 
 from unittest import TestCase
 
@@ -10,8 +10,8 @@
     build_record,
 )
 from core_tests.forwarding.fleet_harness import FleetHarness, address_of
-from geraniumlead.forwarding.aggregator_chooser import GATHERERS
-from geraniumlead.forwarding.delegation_plan import BLOCK_SHARDS
+from geraniumlead.forwarding.aggregator_chooser import MAX_AGGREGATORS
+from geraniumlead.forwarding.delegation_planner import SHARD_GROUP_SIZE
 from geraniumlead.peering import DelegatedRequest
 
 SHARDS = 87
@@ -20,7 +20,7 @@
 
 
 def build_fleet(instances: int, run_ms: float = START_MS) -> FleetHarness:
-    """Return a fleet spread over three regions; every third shard is far from any of them."""
+    """Return a fleet in three regions; every third shard is far from any one instance."""
     fleet = FleetHarness([PLACES[number % len(PLACES)] for number in range(instances)])
     route = build_fan_out(SHARDS, least_share=0.9)
     records = [
@@ -39,7 +39,7 @@
 
 
 def ask_all(fleet: FleetHarness) -> dict[str, set[str]]:
-    """Ask each instance once; return who has asked each upstream."""
+    """Send each instance a query; return the instances that sent to each upstream."""
     askers: dict[str, set[str]] = {}
     for key, address in enumerate(fleet.members, start=1):
         fleet.ask(address, key)
@@ -51,33 +51,35 @@
     return askers
 
 
-class FarBlockTests(TestCase):
-    def test_far_shards_are_shared_out_among_peers_beside_them(self):
-        """Every third shard is only elsewhere, and all of these went to one peer.
+class FarShardGroupTests(TestCase):
+    def test_far_shards_are_divided_among_peers_in_their_region(self):
+        """Every third shard is only in other regions.
 
-        It opened a connection for each of them in turn, and its reply came after the goal.
+        If all of these went to one peer, it would open a connection to each in turn, and its reply
+        would come after the goal.
         """
         fleet = build_fleet(18)
-        letters = [
-            letter
-            for letter in fleet.ask(address_of(0), 1)
-            if isinstance(letter.message, DelegatedRequest)
-            and region_of(fleet, letter.address) != "noord"
+        messages = [
+            outgoing
+            for outgoing in fleet.ask(address_of(0), 1)
+            if isinstance(outgoing.message, DelegatedRequest)
+            and region_of(fleet, outgoing.address) != "noord"
         ]
-        self.assertGreaterEqual(len(letters), 2)
-        self.assertEqual(SHARDS // 3, sum(len(letter.message.shards) for letter in letters))
-        self.assertEqual(1, len({region_of(fleet, letter.address) for letter in letters}))
-        for letter in letters:
-            self.assertLessEqual(len(letter.message.shards), BLOCK_SHARDS)
+        self.assertGreaterEqual(len(messages), 2)
+        self.assertEqual(SHARDS // 3, sum(len(outgoing.message.shards) for outgoing in messages))
+        self.assertEqual(1, len({region_of(fleet, outgoing.address) for outgoing in messages}))
+        for outgoing in messages:
+            self.assertLessEqual(len(outgoing.message.shards), SHARD_GROUP_SIZE)
         fleet.deliver()
         self.assertEqual(SHARDS, sum(fleet.started().values()))
         fleet.answer_all()
         self.assertEqual(0, fleet.members[address_of(0)].replies[1].missing)
 
     def test_few_far_shards_go_to_one_peer(self):
-        """A dozen shards of a large index are only elsewhere, where they belong to four blocks.
+        """Twelve shards of a large index are only in another region, where they are in four groups.
 
-        Cut into blocks of one or two each, most of them were asked from here, across the regions.
+        Split into groups of one or two each, most of them would be queried from here, across the
+        regions.
         """
         fleet = build_fleet(18)
         route = build_fan_out(SHARDS, least_share=0.9)
@@ -88,50 +90,52 @@
         ]
         fleet.publish(build_news(build_configuration(route, version=2), *records))
         fleet.run_until(fleet.now_ms + 1_500.0)
-        letters = [
-            letter
-            for letter in fleet.ask(address_of(0), 1)
-            if isinstance(letter.message, DelegatedRequest)
-            and region_of(fleet, letter.address) != "noord"
+        messages = [
+            outgoing
+            for outgoing in fleet.ask(address_of(0), 1)
+            if isinstance(outgoing.message, DelegatedRequest)
+            and region_of(fleet, outgoing.address) != "noord"
         ]
-        self.assertEqual([12], [len(letter.message.shards) for letter in letters])
+        self.assertEqual([12], [len(outgoing.message.shards) for outgoing in messages])
 
-    def test_far_callers_use_the_same_connections_as_near_ones(self):
-        """Queries come to every instance of three regions.
+    def test_queries_from_all_regions_use_the_same_connections(self):
+        """Queries arrive at every instance of three regions.
 
-        With a peer of their own choice for far shards, each region kept other connections open
-        to the same upstreams, and all of them were mostly cold.
+        If each region chose its own peers for far shards, it would keep other connections open to
+        the same upstreams, and most of them would be cold.
         """
         for instances in (18, 36):
             for upstream_id, found in ask_all(build_fleet(instances)).items():
-                self.assertLessEqual(len(found), GATHERERS, (instances, upstream_id))
+                self.assertLessEqual(len(found), MAX_AGGREGATORS, (instances, upstream_id))
 
-    def test_in_a_small_data_centre_one_instance_gathers_a_block(self):
-        """Three instances a data centre, which were all gatherers of all blocks.
+    def test_a_small_data_centre_has_one_aggregator_per_group(self):
+        """Three instances in each data centre.
 
-        Each opened connections to all upstreams, more than one for each part that it asked.
+        If all were aggregators of all groups, each would open connections to all upstreams, more
+        than one for each subrequest.
         """
         for upstream_id, found in ask_all(build_fleet(9)).items():
             self.assertEqual(1, len(found), upstream_id)
 
-    def test_instances_that_have_not_met_agree_on_who_gathers(self):
-        """A fleet of ninety started two seconds ago, and a beat reaches six peers.
+    def test_instances_that_have_not_met_agree_on_the_aggregators(self):
+        """A fleet of ninety instances started two seconds ago, and a hello reaches six peers.
 
-        Each instance chose among those that it had met, so nearly all of them opened connections
-        to nearly all upstreams in the first ten seconds.
+        If each instance chose among those that it had met, nearly all of them would open
+        connections to nearly all upstreams in the first ten seconds.
         """
         fleet = build_fleet(90, run_ms=2_000.0)
         askers = ask_all(fleet)
         mean = sum(map(len, askers.values())) / len(askers)
-        self.assertLessEqual(mean, 2.0 * GATHERERS)
+        self.assertLessEqual(mean, 2.0 * MAX_AGGREGATORS)
         for member in fleet.members.values():
             (reply,) = member.replies.values()
             self.assertEqual(0, reply.missing)
 
-    def test_a_peer_that_started_again_can_reply(self):
-        """A peer starts again and has not heard yet who asks it, though it was met before.
+    def test_a_peer_that_restarted_can_reply(self):
+        """A peer restarts and does not know the sender yet, though the sender knows the peer.
 
-        Its word and its reply had no address, so each of its blocks waited in vain.
+        If its acknowledgement and reply had no address, each shard group delegated to it would wait
+        in vain.
         """
         fleet = build_fleet(18)
         entry, peer = fleet.members[address_of(0)], fleet.members[address_of(3)]
@@ -144,7 +148,7 @@
         self.assertIsNone(entry.forwarder._peers.directory.peers["entry-4"].silent_ms)
 
     def test_a_peer_that_was_never_met_can_reply(self):
-        """An instance is known by name only, and does not know who asks it."""
+        """A peer is known from gossip only, and does not know the sender."""
         fleet = build_fleet(18)
         entry, peer = fleet.members[address_of(0)], address_of(3)
         del fleet.members[peer].forwarder._peers.directory.peers["entry-1"]
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_cut_off_watch.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_isolation_detector.py
@@ -1,4 +1,4 @@
-"""Test what an instance does that is cut off from all upstreams."""
+"""Test how an instance behaves that is isolated from all upstreams."""
 
 from unittest import TestCase
 
@@ -13,50 +13,50 @@
 from geraniumlead.forwarding import NotReached, OwnReply
 from geraniumlead.forwarding.isolation_detector import (
     ISOLATED_AFTER_MS,
-    LEAST_UNREACHED,
-    LOOK_AGAIN_MS,
-    PROBE_MS,
+    MIN_UNREACHABLE,
+    PROBE_INTERVAL_MS,
+    RESUME_AFTER_MS,
     IsolationDetector,
 )
 
 UNREACHED = NotReached("timeout", is_timeout=True)
 
 
-class CutOffWatchTests(TestCase):
-    def build(self, count: int = LEAST_UNREACHED) -> IsolationDetector:
+class IsolationDetectorTests(TestCase):
+    def build(self, count: int = MIN_UNREACHABLE) -> IsolationDetector:
         found = IsolationDetector()
-        found.note_answer(0.0)
+        found.record_answer(0.0)
         for number in range(count):
-            found.note_unreached(f"upstream-{number}", ISOLATED_AFTER_MS)
+            found.record_unreachable(f"upstream-{number}", ISOLATED_AFTER_MS)
         return found
 
-    def test_failed_connections_and_no_answer_from_anywhere_mean_cut_off(self):
+    def test_failed_connections_and_no_answer_mean_isolation(self):
         found = self.build()
         self.assertFalse(found.is_isolated(ISOLATED_AFTER_MS - 1.0))
         self.assertTrue(found.is_isolated(ISOLATED_AFTER_MS))
-        found.note_answer(ISOLATED_AFTER_MS + 1.0)
+        found.record_answer(ISOLATED_AFTER_MS + 1.0)
         self.assertFalse(found.is_isolated(2.0 * ISOLATED_AFTER_MS))
 
-    def test_one_or_two_upstreams_without_power_do_not(self):
-        self.assertFalse(self.build(LEAST_UNREACHED - 1).is_isolated(ISOLATED_AFTER_MS))
+    def test_one_or_two_upstreams_without_power_do_not_mean_isolation(self):
+        self.assertFalse(self.build(MIN_UNREACHABLE - 1).is_isolated(ISOLATED_AFTER_MS))
 
-    def test_slow_answers_alone_do_not(self):
-        """All upstreams take longer than usual; their answers will come, and are waited for."""
+    def test_slow_answers_alone_do_not_mean_isolation(self):
+        """All upstreams are slower than usual; their answers will arrive, and are awaited."""
         self.assertFalse(self.build(0).is_isolated(10.0 * ISOLATED_AFTER_MS))
 
     def test_requests_are_sent_again_after_a_while(self):
-        self.assertFalse(self.build().is_isolated(ISOLATED_AFTER_MS + LOOK_AGAIN_MS))
+        self.assertFalse(self.build().is_isolated(ISOLATED_AFTER_MS + RESUME_AFTER_MS))
 
-    def test_one_request_at_a_time_looks(self):
+    def test_one_request_at_a_time_is_sent_as_a_probe(self):
         found = self.build()
-        self.assertFalse(found.is_useless(ISOLATED_AFTER_MS))
-        self.assertTrue(found.is_useless(ISOLATED_AFTER_MS + 1.0))
-        self.assertFalse(found.is_useless(ISOLATED_AFTER_MS + PROBE_MS))
+        self.assertFalse(found.should_refuse(ISOLATED_AFTER_MS))
+        self.assertTrue(found.should_refuse(ISOLATED_AFTER_MS + 1.0))
+        self.assertFalse(found.should_refuse(ISOLATED_AFTER_MS + PROBE_INTERVAL_MS))
 
 
-class CutOffInstanceTests(TestCase):
+class IsolatedInstanceTests(TestCase):
     def build(self) -> ForwarderHarness:
-        """Hold an instance between near and far upstreams of twelve shards."""
+        """Return an instance with an upstream near and one far for each of twelve shards."""
         harness = ForwarderHarness()
         index = build_fan_out(12, latency_goal_ms=250.0, prefix="/all/")
         records = [
@@ -72,11 +72,12 @@
             harness.now_ms += 20.0
         return harness
 
-    def test_an_instance_that_is_cut_off_refuses_at_once(self):
-        """No upstream can be reached from here any more, though callers still come.
+    def test_an_isolated_instance_refuses_at_once(self):
+        """No upstream can be reached any more, though callers still reach the instance.
 
-        They waited until their deadline. Refused at once, with nothing run, they can be
-        served by another instance; one request at a time looks if the cut has ended.
+        Kept, their requests would wait until the deadline. Refused at once, with nothing executed,
+        they can be served by another instance; one request at a time probes whether the isolation
+        has ended.
         """
         harness = self.build()
         for attempt in harness.ask(1, path="/all/1"):
@@ -84,7 +85,7 @@
         for attempt in list(harness.started[-12:]):
             harness.end(attempt, UNREACHED)
         harness.now_ms += ISOLATED_AFTER_MS
-        self.assertNotEqual([], harness.ask(2, path="/all/1"), "the first one looks")
+        self.assertNotEqual([], harness.ask(2, path="/all/1"), "the first one is a probe")
         self.assertFalse(harness.forwarder.is_ready)
         self.assertEqual([], harness.ask(3, path="/all/1"))
         match harness.replies[3]:
@@ -92,7 +93,7 @@
                 self.assertIsNotNone(after_ms)
             case reply:
                 self.fail(f"not a refusal: {reply}")
-        harness.now_ms += PROBE_MS
+        harness.now_ms += PROBE_INTERVAL_MS
         *_, last = harness.ask(4, path="/all/1")
         harness.end(last, build_answer())
         self.assertTrue(harness.forwarder.is_ready)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_late_words.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_late_acknowledgements.py
@@ -1,4 +1,4 @@
-"""Test peers that are slow to say that they serve a block, but do serve it."""
+"""Test peers that acknowledge a shard group late, but do serve it."""
 
 from unittest import TestCase
 
@@ -20,8 +20,8 @@
 LOW = bytes([1]) * 16
 
 
-class LateWordTests(TestCase):
-    """Hold seven instances of one data centre whose messages may take long."""
+class LateAcknowledgementTests(TestCase):
+    """Seven instances in one data centre whose messages may be slow."""
 
     def build(self, extra_slack: float, extra_share: float = 0.0) -> None:
         self.fleet = FleetHarness(
@@ -36,23 +36,23 @@
         self.entry = self.fleet.members[ENTRY]
 
     def ask_slow_peers(self, key: int = 1) -> list:
-        """Ask the entry instance while all that peers send comes late; return the letters."""
-        letters = self.fleet.ask(ENTRY, key)
+        """Query the entry instance while all peers are slow; return the delegating messages."""
+        messages = self.fleet.ask(ENTRY, key)
         self.fleet.slow_ms = {name: SLOW_MS for name in self.fleet.members if name != ENTRY}
         self.fleet.deliver()
-        return [letter for letter in letters if isinstance(letter.message, DelegatedRequest)]
+        return [outgoing for outgoing in messages if isinstance(outgoing.message, DelegatedRequest)]
 
     def answer_peers(self) -> None:
-        """Let the attempts of all but the entry instance succeed."""
+        """Complete the attempts of all instances but the entry instance."""
         for address in self.fleet.members:
             if address != ENTRY:
                 self.fleet.answer(address)
 
-    def test_a_slow_peer_brings_its_block_when_the_budget_is_empty(self):
-        """All peers are slow to say that they serve, and no second sending is allowed.
+    def test_a_slow_peer_is_awaited_when_the_budget_is_empty(self):
+        """All peers acknowledge late, and no extra attempt is allowed.
 
-        Given up for its silence, the query failed with most of its goal left, and the answers of
-        its peers came to nobody.
+        If they were given up for their silence, the query would fail with most of its goal left,
+        and the answers of its peers would be lost.
         """
         self.build(extra_slack=0.0)
         self.ask_slow_peers()
@@ -64,10 +64,10 @@
         self.assertEqual(0, self.entry.replies[1].missing)
 
     def test_a_peer_may_be_late_beyond_the_goal_when_the_budget_is_empty(self):
-        """An overloaded peer says its word and brings its block after the goal.
+        """An overloaded peer acknowledges late and replies after the goal.
 
-        Given up at the goal, or by its late word, the query failed with a second left in which
-        its caller would have had the answer.
+        If it were given up at the goal, or for its late acknowledgement, the query would fail
+        although the caller still waits for a second and the answer arrives in that time.
         """
         self.build(extra_slack=0.0)
         self.ask_slow_peers()
@@ -81,20 +81,20 @@
         self.fleet.run_until(self.fleet.now_ms + 20.0)
         self.assertEqual(0, self.entry.replies[1].missing)
 
-    def test_a_peer_that_never_replies_is_given_up_while_its_caller_can_ask_again(self):
-        """A peer is dead and the budget empty: there is nothing to wait for till the end."""
+    def test_a_peer_that_never_replies_is_given_up_while_the_caller_can_retry(self):
+        """A peer is dead and the budget is empty: waiting until the end would be useless."""
         self.build(extra_slack=0.0)
-        letters = self.ask_slow_peers()
-        self.fleet.silent = {letter.address for letter in letters}
+        messages = self.ask_slow_peers()
+        self.fleet.silent = {outgoing.address for outgoing in messages}
         self.fleet.answer(ENTRY)
         self.fleet.run_until(self.fleet.now_ms + 750.0)
         self.assertEqual(502, self.entry.replies[1].status)
 
-    def test_late_words_leave_the_budget_of_failed_parts(self):
-        """Query after query finds slow peers.
+    def test_late_acknowledgements_leave_budget_for_failed_subrequests(self):
+        """Many queries in a row are delegated to slow peers.
 
-        Asked again as a whole, one block spent what the parts that fail in the next ten seconds
-        need.
+        If a whole shard group were sent again, it would spend the budget that subrequests failing
+        in the next ten seconds need.
         """
         self.build(extra_slack=70.0)
         for key in range(1, 12):
@@ -108,11 +108,11 @@
         for number in range(SHARDS):
             self.assertTrue(budgets.may_repeat_failed(f"shard-{number}", self.fleet.now_ms))
 
-    def test_a_block_that_comes_beside_a_second_asking_counts_once(self):
-        """A peer's word is late, a shard is asked from here and answers, then the block comes.
+    def test_records_of_a_shard_queried_twice_appear_once(self):
+        """A peer acknowledges late, a shard queried from here answers, then the peer replies.
 
-        The block's records hold that shard's as well: merged with the answer from here, they
-        would appear twice in the reply.
+        The peer's records contain those of this shard as well: merged with the answer from here,
+        they would appear twice in the reply.
         """
         self.build(extra_slack=1_000.0)
         self.ask_slow_peers()
@@ -123,8 +123,8 @@
             if address != ENTRY:
                 started = self.fleet.answer(address)
                 delegated |= {attempt.upstream.service for attempt in started}
-        beside = [a for a in self.entry.started if a.upstream.service in delegated]
-        self.entry.end(beside[0], build_answer(LOW, signature="beside"))
+        hedges = [a for a in self.entry.started if a.upstream.service in delegated]
+        self.entry.end(hedges[0], build_answer(LOW, signature="beside"))
         self.fleet.run_until(self.fleet.now_ms + SLOW_MS + 10.0)
         own = [a for a in self.entry.started if a.upstream.service not in delegated]
         for attempt in own:
@@ -134,31 +134,32 @@
         self.assertNotIn("beside", reply.signatures)
         self.assertEqual(SHARDS, len(set(reply.signatures)))
         self.assertEqual(3 * HIGH, reply.records)
-        cancelled = {attempt.attempt_id for attempt in beside[1:]}
+        cancelled = {attempt.attempt_id for attempt in hedges[1:]}
         self.assertLessEqual(cancelled, set(self.entry.cancelled))
 
-    def test_a_peer_sends_nothing_again_that_is_asked_elsewhere_too(self):
-        """A route allows two upstreams; the peer has asked one and the entry instance the other.
+    def test_a_peer_does_not_retry_shards_that_the_sender_queries_too(self):
+        """A route allows two upstreams; the peer has tried one and the entry instance the other.
 
-        A second sending of the peer would reach a third.
+        A retry by the peer would reach a third.
         """
         self.build(extra_slack=1_000.0)
-        letters = self.ask_slow_peers()
+        messages = self.ask_slow_peers()
         self.fleet.run_until(self.fleet.now_ms + 60.0)
-        peer = self.fleet.members[letters[0].address]
+        peer = self.fleet.members[messages[0].address]
         before = len(peer.started)
         for attempt in list(peer.started):
             peer.end(attempt, PossiblyExecuted("reset"))
         self.fleet.run_until(self.fleet.now_ms + 80.0)
         self.assertEqual(before, len(peer.started))
 
-    def test_a_word_that_comes_after_its_query_proves_that_the_peer_lives(self):
-        """A slow peer answers when its query has ended, and its next hello is far away.
+    def test_an_acknowledgement_after_its_query_shows_that_the_peer_is_alive(self):
+        """A slow peer's acknowledgement arrives after its query, long before its next hello.
 
-        Its blocks went to others until then, over cold connections.
+        If it were ignored, the peer's shard groups would go to others until the hello, over cold
+        connections.
         """
         self.build(extra_slack=1_000.0)
-        letters = self.ask_slow_peers()
+        messages = self.ask_slow_peers()
         self.fleet.run_until(self.fleet.now_ms + 60.0)
         self.entry.leave(1)
         self.entry.letters.clear()
@@ -166,14 +167,14 @@
         self.fleet.slow_ms = {}
         again: set[str] = set()
         for key in range(2, 12):
-            again |= {letter.address for letter in self.fleet.ask(ENTRY, key)}
+            again |= {outgoing.address for outgoing in self.fleet.ask(ENTRY, key)}
             self.entry.leave(key)
-        self.assertLessEqual({letter.address for letter in letters}, again)
+        self.assertLessEqual({outgoing.address for outgoing in messages}, again)
 
-    def test_words_that_are_usually_late_are_waited_for(self):
-        """The whole fleet is slow, and each word takes some sixty milliseconds.
+    def test_acknowledgements_that_are_always_late_are_awaited(self):
+        """The whole fleet is slow, and each acknowledgement takes some sixty milliseconds.
 
-        Waited for as if the fleet were quick, every block would be asked twice.
+        With the timeout of a fast fleet, every shard group would be queried twice.
         """
         self.build(extra_slack=1_000.0)
         for key in range(1, 9):
@@ -186,9 +187,11 @@
             self.fleet.answer(ENTRY)
             self.fleet.run_until(self.fleet.now_ms + 200.0)
         self.fleet.slow_ms = {}
-        letters = self.fleet.ask(ENTRY, 99)
-        blocks = [letter for letter in letters if isinstance(letter.message, DelegatedRequest)]
-        self.assertGreaterEqual(len(blocks), 1)
+        messages = self.fleet.ask(ENTRY, 99)
+        delegations = [
+            outgoing for outgoing in messages if isinstance(outgoing.message, DelegatedRequest)
+        ]
+        self.assertGreaterEqual(len(delegations), 1)
         self.fleet.slow_ms = {name: 60.0 for name in self.fleet.members if name != ENTRY}
         self.fleet.deliver()
         self.fleet.run_until(self.fleet.now_ms + 55.0)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_published_state.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_published_state.py
@@ -1,4 +1,4 @@
-"""Test what is noticed of what operators and upstreams publish."""
+"""Test how an instance follows what operators and upstreams publish."""
 
 from unittest import TestCase
 
@@ -15,7 +15,7 @@
 
 
 class LacksUpstreamsTests(TestCase):
-    def test_nothing_is_lacking_before_there_is_a_configuration(self):
+    def test_nothing_is_lacking_without_a_configuration(self):
         self.assertFalse(ForwarderHarness().forwarder.published.lacks_upstreams)
 
     def test_a_service_of_a_route_without_upstreams_is_lacking(self):
@@ -25,11 +25,11 @@
         harness.handle(build_news(build_configuration(build_route()), build_record("x")))
         self.assertFalse(harness.forwarder.published.lacks_upstreams)
 
-    def test_a_service_that_no_route_leads_to_is_not_waited_for(self):
-        """The configuration names services for an index that is to come.
+    def test_a_service_without_a_route_is_not_lacking(self):
+        """The configuration has services for an index that does not exist yet.
 
-        Taken for lacking, they made every instance ask the store five times a second after
-        each of its outages, at the price of all these calls.
+        If they counted as lacking upstreams, every instance would call the store five times a
+        second after each of its outages, and each of these calls has a cost.
         """
         services = {name: UpstreamService(name, 26, 0.0) for name in ("reader", "to-come")}
         found = PublishedConfiguration(1, RouteTable([build_route()]), services)
@@ -38,23 +38,23 @@
         self.assertFalse(harness.forwarder.published.lacks_upstreams)
 
 
-class ReadingLineTests(TestCase):
-    """What an instance knew, how old it was and from whom is told for each reading."""
+class ReadLogTests(TestCase):
+    """Each read is logged with what it contained, how old it was and where it came from."""
 
-    def test_a_request_tells_how_old_the_view_was_that_it_was_served_by(self):
-        """Guards against a complaint of old routes that no line of the log can explain."""
+    def test_a_request_is_logged_with_the_age_of_its_view(self):
+        """Guards against complaints about outdated routes that no log entry can explain."""
         harness = ForwarderHarness()
-        news = build_news(build_configuration(build_route()), build_record("x")).updates
-        harness.handle(PublishedUpdates(news, False, age_ms=300.0, source="entry-2"))
+        updates = build_news(build_configuration(build_route()), build_record("x")).updates
+        harness.handle(PublishedUpdates(updates, False, age_ms=300.0, source="entry-2"))
         harness.now_ms += 900.0
         (attempt,) = harness.ask()
         harness.end(attempt, build_answer())
         lines = {line.name: line.fields for line in harness.logged}
         self.assertEqual(1_200, lines["request"]["view_age_ms"])
-        told = {"source": "entry-2", "age_ms": 300.0, "configurations": 1, "upstreams_seen": 1}
-        self.assertLessEqual(told.items(), lines["published"].items())
+        expected = {"source": "entry-2", "age_ms": 300.0, "configurations": 1, "upstreams_seen": 1}
+        self.assertLessEqual(expected.items(), lines["published"].items())
 
-    def test_late_news_of_a_peer_make_no_view_younger_than_it_is(self):
+    def test_late_updates_of_a_peer_do_not_make_the_view_look_newer(self):
         harness = ForwarderHarness()
         harness.handle(build_news(build_configuration(build_route()), build_record("x")))
         harness.now_ms += 1_000.0
@@ -69,15 +69,16 @@
         return harness
 
     def withdraw(self, harness: ForwarderHarness, **changes) -> list:
-        """Let the upstream's entry go; return what a request then starts."""
+        """Withdraw the upstream's entry; return the attempts that a request then starts."""
         harness.handle(PublishedUpdates((UpstreamWithdrawn("x"),), is_snapshot=False, **changes))
         return harness.ask()
 
-    def test_a_long_silence_counts_from_the_last_answer(self):
-        """The store is silent for four seconds, and the entries of living upstreams lapse.
+    def test_an_outage_counts_from_the_last_answer(self):
+        """The store is unavailable for four seconds, and the entries of running upstreams lapse.
 
-        The watch fails only shortly before its return. Counted from there the outage seemed
-        too short for a lapse, and callers were refused until the entries came back.
+        The watch fails only shortly before the store's return. If the outage counted from there, it
+        would seem too short for entries to lapse, and callers would be refused until the entries
+        came back.
         """
         harness = self.build()
         harness.now_ms += 4_000.0
@@ -85,15 +86,15 @@
         harness.now_ms += 300.0
         self.assertEqual(1, len(self.withdraw(harness)))
 
-    def test_one_lost_call_delays_no_withdrawal(self):
+    def test_one_failed_call_delays_no_withdrawal(self):
         harness = self.build()
         harness.now_ms += 500.0
         harness.handle(StoreLost("reset"))
         harness.now_ms += 200.0
         self.assertEqual([], self.withdraw(harness))
 
-    def test_who_hears_of_an_outage_from_another_holds_what_lapsed(self):
-        """This instance made no call while the store was away, and a watcher tells what is gone."""
+    def test_entries_that_lapsed_in_an_outage_seen_by_a_peer_are_held(self):
+        """This instance made no call during the outage; a watcher reports the deleted entry."""
         harness = self.build()
         harness.now_ms += 4_000.0
         self.assertEqual(1, len(self.withdraw(harness, is_after_outage=True)))
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_blocks.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_shard_groups.py
@@ -1,4 +1,4 @@
-"""Test queries over so many shards that peers beside the upstreams ask blocks of them."""
+"""Test queries over many shards, which peers in the upstreams' data centre query in groups."""
 
 from unittest import TestCase
 
@@ -9,8 +9,8 @@
     build_record,
 )
 from core_tests.forwarding.fleet_harness import FleetHarness, address_of
-from geraniumlead.forwarding.aggregator_chooser import GATHERERS
-from geraniumlead.forwarding.delegation_plan import BLOCK_SHARDS
+from geraniumlead.forwarding.aggregator_chooser import MAX_AGGREGATORS
+from geraniumlead.forwarding.delegation_planner import SHARD_GROUP_SIZE
 from geraniumlead.peering import DelegatedRequest
 
 SHARDS = 96
@@ -18,8 +18,8 @@
 ENTRY = address_of(1)
 
 
-class BlockTests(TestCase):
-    """Hold seven instances of one data centre, beside the upstreams of 96 shards."""
+class ShardGroupTests(TestCase):
+    """Seven instances in one data centre, which also has the upstreams of 96 shards."""
 
     def setUp(self):
         self.fleet = FleetHarness(["noord-a"] * INSTANCES)
@@ -29,14 +29,14 @@
         self.fleet.run_until(5_000.0)
 
     def ask(self, address: str, key: int) -> list:
-        """Ask one instance; return the letters with blocks."""
-        letters = self.fleet.ask(address, key)
-        return [letter for letter in letters if isinstance(letter.message, DelegatedRequest)]
+        """Send a query to one instance; return its messages that delegate shard groups."""
+        messages = self.fleet.ask(address, key)
+        return [outgoing for outgoing in messages if isinstance(outgoing.message, DelegatedRequest)]
 
-    def test_a_large_query_is_shared_out_and_comes_back_whole(self):
-        letters = self.ask(ENTRY, 1)
-        self.assertLessEqual(len(letters), SHARDS // BLOCK_SHARDS)
-        self.assertGreaterEqual(len(letters), 1)
+    def test_a_large_query_is_delegated_and_the_reply_is_complete(self):
+        messages = self.ask(ENTRY, 1)
+        self.assertLessEqual(len(messages), SHARDS // SHARD_GROUP_SIZE)
+        self.assertGreaterEqual(len(messages), 1)
         self.fleet.deliver()
         self.assertEqual(SHARDS, sum(self.fleet.started().values()))
         self.fleet.answer_all()
@@ -44,11 +44,11 @@
         self.assertEqual(0, reply.missing)
         self.assertEqual(SHARDS, len(set(reply.signatures)))
 
-    def test_few_instances_meet_one_upstream_whoever_is_asked(self):
+    def test_few_instances_connect_to_one_upstream(self):
         """Each instance in turn gets a query.
 
-        Asked by all of them, every upstream had a connection from each, mostly cold, and every
-        instance found out each pause by itself.
+        If all of them sent subrequests to every upstream, it would have a connection from each,
+        mostly cold, and every instance would run into each pause separately.
         """
         asked: set[str] = set()
         for key, address in enumerate(self.fleet.members, start=1):
@@ -57,13 +57,13 @@
             asked |= self.fleet.askers()["shard-0.1"]
             self.fleet.answer_all()
             self.fleet.run_until(self.fleet.now_ms + 50.0)
-        self.assertLessEqual(len(asked), GATHERERS)
+        self.assertLessEqual(len(asked), MAX_AGGREGATORS)
 
-    def test_the_block_of_a_silent_peer_is_asked_from_here_before_the_goal(self):
-        """A peer freezes, and its blocks stay out without a word."""
-        letters = self.ask(ENTRY, 1)
-        self.fleet.silent = {letters[0].address}
-        lost = set(letters[0].message.shards)
+    def test_the_group_of_a_silent_peer_is_queried_from_here_before_the_goal(self):
+        """A peer freezes and acknowledges none of the shard groups delegated to it."""
+        messages = self.ask(ENTRY, 1)
+        self.fleet.silent = {messages[0].address}
+        lost = set(messages[0].message.shards)
         self.fleet.deliver()
         self.fleet.run_until(self.fleet.now_ms + 60.0)
         entry = self.fleet.members[ENTRY]
@@ -72,22 +72,23 @@
         self.fleet.answer_all()
         self.assertEqual(0, entry.replies[1].missing)
 
-    def test_the_next_in_rank_gathers_for_one_that_is_silent(self):
-        """A peer froze, and the next query comes.
+    def test_the_next_ranked_peer_replaces_a_silent_aggregator(self):
+        """A peer freezes, and the next query arrives.
 
-        Its blocks were then asked by every instance itself, over cold connections.
+        If no other peer took over its shard groups, every instance would query them itself, over
+        cold connections.
         """
-        letters = self.ask(ENTRY, 1)
-        frozen = letters[0].address
+        messages = self.ask(ENTRY, 1)
+        frozen = messages[0].address
         self.fleet.silent = {frozen}
         self.fleet.run_until(self.fleet.now_ms + 60.0)
         self.fleet.answer_all()
-        letters = self.ask(ENTRY, 2)
-        self.assertGreaterEqual(len(letters), 1)
-        self.assertNotIn(frozen, {letter.address for letter in letters})
+        messages = self.ask(ENTRY, 2)
+        self.assertGreaterEqual(len(messages), 1)
+        self.assertNotIn(frozen, {outgoing.address for outgoing in messages})
 
-    def test_a_query_over_few_shards_stays_here(self):
-        """Below some forty shards a hop costs callers more than it spares this instance."""
+    def test_a_query_over_few_shards_is_not_delegated(self):
+        """Below about forty shards a hop costs callers more than it saves this instance."""
         route = build_fan_out(30)
         records = [build_record(f"{name}.2", name) for name in route.services()]
         self.fleet.publish(build_news(build_configuration(route, version=2), *records))
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_waiting.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_waiting.py
@@ -12,7 +12,7 @@
 )
 from core_tests.forwarding.harness import ForwarderHarness
 from geraniumlead.forwarding import RelayedReply
-from geraniumlead.forwarding.upstream_chooser import LEAST_CONNECTIONS
+from geraniumlead.forwarding.upstream_chooser import MIN_CONNECTIONS
 
 
 class WaitingTests(TestCase):
@@ -35,7 +35,7 @@
         """
         harness = self.build(build_route())
         started = [attempt for key in range(1, 7) for attempt in harness.ask(key)]
-        self.assertEqual(LEAST_CONNECTIONS, len(started))
+        self.assertEqual(MIN_CONNECTIONS, len(started))
         while started:
             harness.now_ms += 20.0
             started += harness.end(started.pop(0), build_answer())
