--- /dev/null
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegated_subrequests.py
@@ -0,0 +1,130 @@
+from collections.abc import Mapping, Sequence
+
+from geraniumlead.fleet import UpstreamRecord
+from geraniumlead.forwarding.actions import ForwardingAction, PeerReply
+from geraniumlead.forwarding.delegated_request_registry import DelegatedRequestRegistry
+from geraniumlead.forwarding.delegation_planner import DelegationPlanner
+from geraniumlead.forwarding.delegation_tracker import Delegation, DelegationTracker, Lateness
+from geraniumlead.forwarding.open_request import OpenRequest, Subrequest
+from geraniumlead.forwarding.results import Completed
+from geraniumlead.forwarding.subrequest_sender import SubrequestSender
+from geraniumlead.peering import DelegatedReply, PeerContact
+
+OK = 200
+
+
+class DelegatedSubrequests:
+    """Delegates subrequests to peers and settles them with the peers' replies.
+
+    It also sends the replies to requests that peers have delegated to this instance.
+    """
+
+    __slots__ = ("_actions", "_planner", "_sender", "registry", "tracker")
+
+    def __init__(
+        self,
+        planner: DelegationPlanner,
+        sender: SubrequestSender,
+        actions: list[ForwardingAction],
+        own_contact: PeerContact,
+    ) -> None:
+        self._planner = planner
+        self.tracker = DelegationTracker(own_contact)
+        self.registry = DelegatedRequestRegistry()
+        self._sender = sender
+        self._actions = actions
+
+    def delegate(
+        self, opened: OpenRequest, chosen: list[tuple[Subrequest, UpstreamRecord]], now_ms: float
+    ) -> list[tuple[Subrequest, UpstreamRecord]]:
+        """Delegate subrequests to peers as planned; return those to send from here."""
+        if not opened.is_fan_out:
+            return chosen
+        for assignment in self._planner.assign(opened, chosen, now_ms):
+            for subrequest in assignment.subrequests:
+                subrequest.may_have_run = True
+                subrequest.is_delegated = True
+            message = self.tracker.start(opened, assignment.subrequests, assignment.peer, now_ms)
+            self._actions.append(message)
+        return [
+            (subrequest, upstream) for subrequest, upstream in chosen if not subrequest.is_delegated
+        ]
+
+    def handle_reply(self, delegation: Delegation, reply: DelegatedReply, now_ms: float) -> None:
+        """Settle delegated subrequests with the reply of a peer."""
+        signatures = dict(reply.signatures)
+        records = reply.records
+        for position, subrequest in enumerate(delegation.subrequests):
+            signature = signatures.get(position)
+            if signature is not None:
+                # The records are those of all shards in the reply, so only the first settled
+                # subrequest gets them. They replace the answer of any shard that was queried
+                # from here as well.
+                answer = Completed(OK, (), records, signature)
+                delegation.opened.settle_answered(subrequest, answer)
+                self._sender.cancel_leg(subrequest, now_ms)
+                records = b""
+        if reply.is_final:
+            reason = "declined" if reply.is_declined else "missing at the peer"
+            tried = {
+                subrequest.service: upstream_ids
+                for position, upstream_ids in reply.tried
+                if (subrequest := delegation.subrequest_at(position)) is not None
+            }
+            self._send_from_here(delegation, tried, reason, now_ms)
+
+    def hedge(self, delegation: Delegation, now_ms: float) -> None:
+        """Send subrequests from here as well while the peer may still answer them.
+
+        The peer may have sent each of them once, and only its acknowledgement may be late or lost.
+        It is told not to retry any of them: together, both instances would reach more upstreams
+        than the route allows.
+        """
+        missing = [subrequest for subrequest in delegation.subrequests if not subrequest.is_settled]
+        if not delegation.is_shared:
+            delegation.is_shared = True
+            self._actions.append(self.tracker.build_shared_message(delegation))
+            for subrequest in missing:
+                self._sender.note_tried(subrequest, (None,))
+        self._sender.ask_beside(missing, delegation.lateness is Lateness.REPLY, now_ms)
+
+    def reclaim(self, delegation: Delegation, reason: str, now_ms: float) -> None:
+        """Cancel a delegation and send its unanswered subrequests from here."""
+        self._actions.append(self.tracker.build_cancel_message(delegation))
+        self._send_from_here(delegation, {}, reason, now_ms)
+
+    def send_partial_reply(self, opened: OpenRequest) -> None:
+        """Send a peer the answers available at its goal, and go on with the rest.
+
+        Failure: if too few shards have answered at the goal, the peer needs some of the late ones.
+        If they were cancelled here, the peer would send them again, over a longer distance, and
+        they would start anew at an upstream, although the first one may be about to answer.
+        """
+        if not opened.is_reported:
+            opened.is_reported = True
+            sender_id, message = self.registry.build_partial_reply(opened)
+            self._actions.append(PeerReply(sender_id, message))
+
+    def send_final_reply(self, opened: OpenRequest) -> str:
+        """Send a peer the final reply to its request, which ends; return the peer's id."""
+        sender_id, message = self.registry.pop_final_reply(opened)
+        self._actions.append(PeerReply(sender_id, message))
+        return sender_id
+
+    def cancel(self, opened: OpenRequest) -> None:
+        """Cancel the delegations of a request and notify the peers."""
+        self._actions += self.tracker.cancel(opened)
+
+    def _send_from_here(
+        self,
+        delegation: Delegation,
+        tried: Mapping[str, Sequence[str | None]],
+        reason: str,
+        now_ms: float,
+    ) -> None:
+        missing = [subrequest for subrequest in delegation.subrequests if not subrequest.is_settled]
+        for subrequest in missing:
+            subrequest.is_delegated = False
+            self._sender.note_tried(subrequest, tried.get(subrequest.service, ()))
+        unsent = [subrequest for subrequest in missing if not subrequest.open_attempts]
+        self._sender.ask_again(delegation.opened, unsent, reason, now_ms)
