--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/node_costs.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/node_costs.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from geraniumlead.ownership.owners import LEAST_CONNECTIONS, MOST_OWNERS
+from geraniumlead.ownership.owners import MAX_OWNERS, MIN_CONNECTIONS_PER_OWNER
 from geraniumlead_standins.capacity.deployment_size import DeploymentSize
 
 MICROSECONDS_PER_S = 1e6
@@ -124,8 +124,8 @@
 
 
 def _owners(size: DeploymentSize) -> float:
-    by_connections = max(1, size.connections_per_server // LEAST_CONNECTIONS)
-    return float(min(MOST_OWNERS, by_connections, size.nodes_per_data_centre))
+    by_connections = max(1, size.connections_per_server // MIN_CONNECTIONS_PER_OWNER)
+    return float(min(MAX_OWNERS, by_connections, size.nodes_per_data_centre))
 
 
 def _peers_per_tick(size: DeploymentSize, measured: dict) -> float:
--- a/packages/geraniumlead/src/geraniumlead/hashing/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/hashing/__init__.py
@@ -1,4 +1,4 @@
-"""Hash text, and rank names by it, the same way on every instance."""
+"""Hashing of text and rendezvous ranking, with the same results on every instance."""
 
 from geraniumlead.hashing.rendezvous import rank_by_rendezvous
 from geraniumlead.hashing.text import hash_text
--- a/packages/geraniumlead/src/geraniumlead/ownership/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""Decide which instances own an upstream, from published data alone."""
+"""The instances that own each upstream, computed from published data alone."""
 
 from geraniumlead.ownership.owners import OwnerTable
 
--- a/packages/geraniumlead/tests/core_tests/ownership/test_owners_from_previous.py
+++ b/packages/geraniumlead/tests/core_tests/ownership/test_owners_from_previous.py
@@ -1,4 +1,4 @@
-"""Test that a table built from the one before equals one built anew."""
+"""Tests that a table built from the previous one equals one built from scratch."""
 
 from random import Random
 from unittest import TestCase
@@ -11,7 +11,7 @@
 
 
 def build_view(numbers: set[int], leaving: set[int], connections: int) -> ClusterView:
-    """Return a view of one data centre with these instances."""
+    """Return a view of one data centre with the instances of these numbers."""
     entries = tuple(
         build_instance(number, state="leaving" if number in leaving else "live")
         for number in sorted(numbers)
@@ -32,6 +32,6 @@
             leaving = {random.randrange(20)}
             view = build_view(numbers, leaving, connections=20 if step % 10 else 8)
             table = OwnerTable.from_previous(view, table)
-            anew = OwnerTable(view)
+            expected = OwnerTable(view)
             for upstream_id in view.upstreams:
-                self.assertEqual(anew.owners_of(upstream_id), table.owners_of(upstream_id))
+                self.assertEqual(expected.owners_of(upstream_id), table.owners_of(upstream_id))
