--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_driver.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_driver.py
@@ -19,7 +19,7 @@
     StartAttempt,
     TimePassed,
 )
-from geraniumlead.peering.peer_letter import PeerLetter
+from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
 from geraniumlead.routes import RequestLimits
 
 logger = logging.getLogger("geraniumlead")
@@ -89,7 +89,7 @@
                 case LogDecision():
                     for observe in self.observers:
                         observe(action)
-                case StartAttempt() | CancelAttempt() | PeerLetter():
+                case StartAttempt() | CancelAttempt() | OutgoingPeerMessage():
                     self._carry_out(action)
 
     def _resolve(self, key: int, reply: Reply) -> None:
--- a/packages/geraniumlead-server/src/geraniumlead_server/peer_transport/transport.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/peer_transport/transport.py
@@ -8,7 +8,7 @@
 import zmq
 import zmq.asyncio
 
-from geraniumlead.peering.peer_letter import SEED_PREFIX
+from geraniumlead.peering.outgoing_peer_message import SEED_PREFIX
 from geraniumlead.settings import InstanceSettings, PlatformSettings
 from geraniumlead_server.peer_transport.dealers import Dealers
 from geraniumlead_server.peer_transport.letter import Letter, PeerCodec
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform/store_client.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform/store_client.py
@@ -8,7 +8,7 @@
 
 from geraniumlead.forwarding import UpstreamWithdrawn
 from geraniumlead.forwarding.news import News
-from geraniumlead.peering import RelayedItem, StoreNews
+from geraniumlead.peering import StoreItem, StoreUpdates
 from geraniumlead_server.platform.names import (
     HISTORY_GONE_STATUS,
     RANGE_PATH,
@@ -80,7 +80,7 @@
     news: tuple[News, ...]
     revision: int
     has_more: bool
-    relayed: StoreNews
+    relayed: StoreUpdates
     waited_ms: float
 
 
@@ -96,7 +96,7 @@
         self._session: ClientSession | None = None
         self._revisions: dict[str, int] = {}
         self._known: dict[str, News] = {}
-        self._held: dict[str, RelayedItem] = {}
+        self._held: dict[str, StoreItem] = {}
         self._unreadable: set[tuple[str, str]] = set()
 
     async def read_all(self, timeout_ms: float) -> tuple[tuple[News, ...], int]:
@@ -135,7 +135,7 @@
             waited_ms=0.0 if found.events else float(wait_ms),
         )
 
-    def read_relayed(self, relayed: StoreNews) -> tuple[News, ...]:
+    def read_relayed(self, relayed: StoreUpdates) -> tuple[News, ...]:
         """Return what another instance has read."""
         items = [
             ItemBody(item.key, item.revision, item.value, item.value is None)
@@ -145,9 +145,9 @@
             return self._read_anew(items)
         return tuple(self._read_items(items)[0])
 
-    def tell_state(self, revision: int) -> StoreNews:
+    def tell_state(self, revision: int) -> StoreUpdates:
         """Return for other instances all that stood in the store at a revision, or after it."""
-        return StoreNews(revision, revision, tuple(self._held.values()), is_state=True)
+        return StoreUpdates(revision, revision, tuple(self._held.values()), is_state=True)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -192,7 +192,7 @@
             news = self._read_one(item)
             if news is not None and news != self._known.get(item.key):
                 self._known[item.key] = news
-                self._held[item.key] = RelayedItem(item.key, item.revision, item.value)
+                self._held[item.key] = StoreItem(item.key, item.revision, item.value)
                 found.append(news)
                 changed.append(item)
             if item.deleted:
@@ -220,12 +220,12 @@
         logger.warning("entry_skipped", extra={"fields": fields})
 
 
-def _relayed(from_revision: int, to_revision: int, items: list[ItemBody]) -> StoreNews:
+def _relayed(from_revision: int, to_revision: int, items: list[ItemBody]) -> StoreUpdates:
     small = [item for item in items if len(item.value or b"") <= MOST_RELAYED_BYTES]
-    return StoreNews(
+    return StoreUpdates(
         from_revision,
         to_revision,
-        tuple(RelayedItem(item.key, item.revision, item.value) for item in small),
+        tuple(StoreItem(item.key, item.revision, item.value) for item in small),
         is_cut=len(small) < len(items),
     )
 
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform/store_records.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform/store_records.py
@@ -168,7 +168,7 @@
     services = {
         found.name: UpstreamService(
             name=found.name,
-            most_connections=found.max_conns,
+            max_connections=found.max_conns,
             cold_requests_per_s=found.warmup_per_s,
             cold_ms=found.warmup_s * 1000.0,
         )
@@ -193,7 +193,7 @@
         timeout_ms=body.timeout_ms,
         latency_goal_ms=body.latency_goal_ms or body.timeout_ms,
         priority=body.priority,
-        most_upstreams=body.max_attempts,
+        max_upstreams=body.max_attempts,
         allowed_regions=frozenset(body.allowed_regions),
     )
 
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_daemon.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_daemon.py
@@ -17,12 +17,12 @@
 )
 from geraniumlead.peering import (
     PeeringMessage,
-    StateWanted,
-    StoreNews,
+    StateRequest,
+    StoreUpdates,
     decode_peering,
     encode_peering,
 )
-from geraniumlead.peering.peer_letter import PeerLetter
+from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
 from geraniumlead.settings import PlatformSettings
 from geraniumlead_server.forwarding_client import AttemptClient
 from geraniumlead_server.forwarding_driver import ForwardingDriver
@@ -168,7 +168,7 @@
         forwarder = self._driver.forwarder
         duty = StoreDuty(
             is_watcher=lambda: forwarder.store_watch.is_watcher(self._driver.now_ms()),
-            has_readers=lambda: bool(forwarder.store_watch.readers(self._driver.now_ms())),
+            has_readers=lambda: bool(forwarder.store_watch.update_receivers(self._driver.now_ms())),
             relay=self._relay_store_news,
             ask_state=self._ask_state,
             lacks_upstreams=lambda: forwarder.published.lacks_upstreams,
@@ -178,43 +178,43 @@
         )
         await self._follower.run()
 
-    def _relay_store_news(self, news: StoreNews) -> None:
-        for peer in self._driver.forwarder.store_watch.readers(self._driver.now_ms()):
+    def _relay_store_news(self, news: StoreUpdates) -> None:
+        for peer in self._driver.forwarder.store_watch.update_receivers(self._driver.now_ms()):
             contact = peer.contact
-            self._peers.send(PeerLetter(contact.instance_id, contact.address, news))
+            self._peers.send(OutgoingPeerMessage(contact.instance_id, contact.address, news))
 
     def _ask_state(self, beyond_revision: int | None) -> None:
         store_watch = self._driver.forwarder.store_watch
-        peer = store_watch.informant(self._driver.now_ms(), self._random)
+        peer = store_watch.choose_state_source(self._driver.now_ms(), self._random)
         if peer is None:
             return
         contact = peer.contact
         logger.info("state_wanted", extra={"fields": {"peer": contact.instance_id}})
-        message = StateWanted(beyond_revision)
-        self._peers.send(PeerLetter(contact.instance_id, contact.address, message))
+        message = StateRequest(beyond_revision)
+        self._peers.send(OutgoingPeerMessage(contact.instance_id, contact.address, message))
 
     def _tell_state(self, sender_id: str, beyond_revision: int | None) -> None:
         peer = self._driver.forwarder.store_watch.peer(sender_id)
         news = None if self._follower is None else self._follower.tell_state(beyond_revision)
         if peer is not None and news is not None:
-            self._peers.send(PeerLetter(sender_id, peer.contact.address, news))
+            self._peers.send(OutgoingPeerMessage(sender_id, peer.contact.address, news))
 
     def _hear(self, sender_id: str, message: PeeringMessage) -> None:
         match message:
-            case StoreNews():
+            case StoreUpdates():
                 self._take_relayed(sender_id, message)
-            case StateWanted(beyond_revision=beyond_revision):
+            case StateRequest(beyond_revision=beyond_revision):
                 self._tell_state(sender_id, beyond_revision)
             case _:
                 self._driver.handle(PeerHeard(sender_id, message))
 
-    def _take_relayed(self, sender_id: str, news: StoreNews) -> None:
+    def _take_relayed(self, sender_id: str, news: StoreUpdates) -> None:
         if self._follower is None:
             return
         peer = self._driver.forwarder.store_watch.peer(sender_id)
         delay_ms = 0.0
         if peer is not None and news.sent_ms is not None:
-            delay_ms = peer.delay_ms(news.sent_ms, self._driver.now_ms())
+            delay_ms = peer.extra_delay_ms(news.sent_ms, self._driver.now_ms())
         self._follower.take_relayed(news, sender_id, delay_ms)
 
     async def _stop(self, servers: list[WebServer], tasks: list[asyncio.Task]) -> None:
@@ -266,5 +266,5 @@
                 self._attempts.start(action)
             case CancelAttempt(attempt_id=attempt_id):
                 self._attempts.cancel(attempt_id)
-            case PeerLetter():
+            case OutgoingPeerMessage():
                 self._peers.send(action)
--- a/packages/geraniumlead-server/src/geraniumlead_server/store_duty.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/store_duty.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from geraniumlead.peering import StoreNews
+from geraniumlead.peering import StoreUpdates
 
 
 def _always() -> bool:
@@ -14,7 +14,7 @@
     return False
 
 
-def _keep(news: StoreNews) -> None:
+def _keep(news: StoreUpdates) -> None:
     """Pass on nothing."""
 
 
@@ -34,6 +34,6 @@
 
     is_watcher: Callable[[], bool] = _always
     has_readers: Callable[[], bool] = _never
-    relay: Callable[[StoreNews], None] = _keep
+    relay: Callable[[StoreUpdates], None] = _keep
     ask_state: Callable[[int | None], None] = _ask_nobody
     lacks_upstreams: Callable[[], bool] = _never
--- a/packages/geraniumlead-server/src/geraniumlead_server/store_follower.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/store_follower.py
@@ -9,8 +9,8 @@
 
 from geraniumlead.forwarding import PublishedNews, StoreLost
 from geraniumlead.forwarding.news import News
-from geraniumlead.peering import ReadingPace, StoreContact, StoreNews
-from geraniumlead.peering.reading_pace import PATIENCE_SPREAD, PROMPT_WATCH_MS
+from geraniumlead.peering import StoreReadState, StoreReadTiming, StoreUpdates
+from geraniumlead.peering.store_read_timing import SHORT_WATCH_MS, UPDATE_TIMEOUT_JITTER
 from geraniumlead_server.backoff import Backoff
 from geraniumlead_server.platform import (
     HistoryGoneError,
@@ -64,16 +64,16 @@
         duty: StoreDuty | None = None,
     ) -> None:
         self._client = client
-        self._pace = ReadingPace.from_bound(bound_ms)
+        self._pace = StoreReadTiming.from_bound(bound_ms)
         self._report = report
         self._random = random
         self._duty = duty or StoreDuty()
         self._as_of_s = float("-inf")
         self._is_due = asyncio.Event()
         self._loop = asyncio.get_running_loop()
-        self._backoff = Backoff(random, self._pace.longest_retry_ms / 1000.0)
+        self._backoff = Backoff(random, self._pace.max_retry_ms / 1000.0)
         self._revision: int | None = None
-        self._contact = StoreContact()
+        self._contact = StoreReadState()
         self._is_history_short = False
         self._has_more = False
         self._is_reading_state = False
@@ -86,7 +86,7 @@
             await asyncio.sleep(await self._ask())
             await self._wait_until_due()
 
-    def take_relayed(self, relayed: StoreNews, source: str, delay_ms: float = 0.0) -> None:
+    def take_relayed(self, relayed: StoreUpdates, source: str, delay_ms: float = 0.0) -> None:
         """Take over what another instance has read; it came so much later than usual.
 
         Failure: a message of the watcher is lost, or this instance begins with an older state.
@@ -113,11 +113,11 @@
         else:
             self._revision = relayed.to_revision
             self._note_as_of(self._loop.time() - age_ms / 1000.0)
-            self._contact.note_told()
+            self._contact.record_peer_update()
         is_after_outage = relayed.is_after_outage
         self._report(PublishedNews(news, relayed.is_state, is_after_outage, age_ms, source))
 
-    def tell_state(self, beyond_revision: int | None) -> StoreNews | None:
+    def tell_state(self, beyond_revision: int | None) -> StoreUpdates | None:
         """Return what one who asks does not know; None when this instance knows less.
 
         That is all that is known here, or the word that nothing has changed. A view that is too
@@ -125,12 +125,12 @@
         """
         is_known = self._revision is not None and not self._is_reading_state
         age_ms = self._view_age_ms()
-        if not is_known or age_ms >= self._pace.patience_ms:
+        if not is_known or age_ms >= self._pace.update_timeout_ms:
             return None
         if beyond_revision is not None and self._revision < beyond_revision:
             return None
         if beyond_revision == self._revision:
-            news = StoreNews(self._revision, self._revision)
+            news = StoreUpdates(self._revision, self._revision)
         else:
             news = self._client.tell_state(self._revision)
         return replace(
@@ -153,8 +153,8 @@
         The time is spread, so that one of those who hear nothing asks first; what it reads it
         passes on, and the others need not ask. A watcher that the store turns away waits, too.
         """
-        spread = 1.0 + PATIENCE_SPREAD * self._random.random()
-        patience_s = self._pace.patience_ms / 1000.0 * spread
+        spread = 1.0 + UPDATE_TIMEOUT_JITTER * self._random.random()
+        patience_s = self._pace.update_timeout_ms / 1000.0 * spread
         while not self._has_more:
             left_s = self._as_of_s + patience_s - self._loop.time()
             is_on_duty = self._duty.is_watcher() and not self._contact.has_failed
@@ -170,7 +170,7 @@
         """Make one call; return the pause until the next, in seconds."""
         asked_s = self._loop.time()
         self._is_due.clear()
-        self._contact.note_asking(asked_s * 1000.0)
+        self._contact.record_call(asked_s * 1000.0)
         is_snapshot = self._contact.needs_state
         self._has_more = False
         changes = None
@@ -188,7 +188,7 @@
             return self._note_history_gone()
         except StoreError as error:
             return self._note_lost(error)
-        self._contact.note_answered(is_snapshot, self._now_ms())
+        self._contact.record_answer(is_snapshot, self._now_ms())
         if not self._is_history_short:
             self._backoff.reset()
         as_of_s = self._as_of_answer_s(asked_s, changes)
@@ -202,7 +202,7 @@
             return 0.0
         return self._pause_after(self._loop.time() - asked_s)
 
-    def _relay(self, news: StoreNews, age_ms: float) -> None:
+    def _relay(self, news: StoreUpdates, age_ms: float) -> None:
         is_after_outage = self._has_returned()
         self._duty.relay(
             replace(news, is_after_outage=is_after_outage, age_ms=age_ms, sent_ms=self._now_ms())
@@ -226,27 +226,27 @@
 
     def _watch_wait_ms(self) -> float:
         if self._contact.has_failed or not self._duty.is_watcher():
-            return PROMPT_WATCH_MS
+            return SHORT_WATCH_MS
         if self._duty.has_readers():
-            return self._pace.telling_ms
-        return self._pace.pause_ms if self._is_changing else self._pace.watch_ms
+            return self._pace.relay_watch_ms
+        return self._pace.batching_ms if self._is_changing else self._pace.watch_ms
 
     async def _read_state(self) -> tuple[News, ...]:
         """Read everything anew; what peers tell meanwhile is read in the watch that follows."""
         self._is_reading_state = True
         try:
-            news, self._revision = await self._client.read_all(self._pace.read_ms)
+            news, self._revision = await self._client.read_all(self._pace.read_timeout_ms)
         finally:
             self._is_reading_state = False
         return news
 
     def _pause_after(self, waited_s: float) -> float:
         pace = self._pace
-        pause_s = (pace.telling_ms if self._duty.has_readers() else pace.pause_ms) / 1000.0
+        pause_s = (pace.relay_watch_ms if self._duty.has_readers() else pace.batching_ms) / 1000.0
         if self._is_returning():
             return min(pause_s, RETURN_PAUSE_S)
         # A watch that waited in vain has gathered already.
-        has_waited = waited_s >= pace.pause_ms / 1000.0
+        has_waited = waited_s >= pace.batching_ms / 1000.0
         return 0.0 if has_waited else pause_s * (0.9 + 0.2 * self._random.random())
 
     def _is_returning(self) -> bool:
@@ -254,7 +254,7 @@
         return self._has_returned() and self._duty.lacks_upstreams()
 
     def _has_returned(self) -> bool:
-        return self._contact.has_returned(self._now_ms())
+        return self._contact.has_just_returned(self._now_ms())
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
@@ -268,8 +268,8 @@
 
     def _note_lost(self, error: StoreError) -> float:
         self._report(StoreLost(str(error)))
-        self._contact.note_failed(self._now_ms())
-        if self._view_age_ms() >= self._pace.patience_ms:
+        self._contact.record_failure(self._now_ms())
+        if self._view_age_ms() >= self._pace.update_timeout_ms:
             self._duty.ask_state(self._revision)
         pause_s = self._backoff.next_pause_s()
         return pause_s if self._contact.has_answered else min(FIRST_READ_PAUSE_S, pause_s)
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/reading_fleet.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/reading_fleet.py
@@ -8,7 +8,7 @@
 import async_solipsism
 
 from geraniumlead.forwarding import ConfigurationSeen, PublishedNews, StoreLost, UpstreamSeen
-from geraniumlead.peering import StoreNews, decode_peering, encode_peering
+from geraniumlead.peering import StoreUpdates, decode_peering, encode_peering
 from geraniumlead_server.store_duty import StoreDuty
 from geraniumlead_server.store_follower import StoreFollower
 from geraniumlead_standins.forwarding import StoreContents, StubUpstream, VirtualStoreClient
@@ -220,7 +220,7 @@
             ask_state=lambda revision: self._ask_state(number, revision),
         )
 
-    def _relay(self, sender: int, news: StoreNews) -> None:
+    def _relay(self, sender: int, news: StoreUpdates) -> None:
         if not self.has_readers:
             return
         data = encode_peering(news)
@@ -242,6 +242,6 @@
         member = self.members[receiver]
         member.when_running(lambda: self._read(sender, member, decode_peering(data)))
 
-    def _read(self, sender: int, member: ReadingInstance, news: StoreNews) -> None:
+    def _read(self, sender: int, member: ReadingInstance, news: StoreUpdates) -> None:
         took_ms = asyncio.get_running_loop().time() * 1000.0 - news.sent_ms
         member.follower.take_relayed(news, f"entry-{sender}", took_ms - WAY_S * 1000.0)
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/test_large_fleet_reading.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/test_large_fleet_reading.py
@@ -3,7 +3,7 @@
 import asyncio
 from unittest import TestCase
 
-from geraniumlead.peering import PATIENCE_SPREAD, ReadingPace
+from geraniumlead.peering import UPDATE_TIMEOUT_JITTER, StoreReadTiming
 from geraniumlead_standins.forwarding import StoreDoor
 from server_tests.forwarding.reading_fleet import (
     MarkedStore,
@@ -25,8 +25,8 @@
 CALL_S = 0.2
 """A call that is answered, and the step in which ages are looked at."""
 
-PATIENCE_MS = ReadingPace.from_bound(BOUND_MS).patience_ms
-LONGEST_UNHEARD_S = PATIENCE_MS * (1.0 + PATIENCE_SPREAD) / 1000.0 + CALL_S
+PATIENCE_MS = StoreReadTiming.from_bound(BOUND_MS).update_timeout_ms
+LONGEST_UNHEARD_S = PATIENCE_MS * (1.0 + UPDATE_TIMEOUT_JITTER) / 1000.0 + CALL_S
 """Age at which a reader has asked for itself at the latest."""
 
 
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/test_store_follower.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/test_store_follower.py
@@ -10,7 +10,7 @@
     UpstreamSeen,
     UpstreamWithdrawn,
 )
-from geraniumlead.peering.store_contact import FAR_BEHIND_MS
+from geraniumlead.peering.store_read_state import FULL_READ_AFTER_MS
 from geraniumlead_server.platform import StoreClient
 from geraniumlead_server.store_duty import StoreDuty
 from geraniumlead_server.store_follower import StoreFollower
@@ -143,7 +143,7 @@
         """
         await self.wait_for(self.snapshots)
         self.store.status = 503
-        await asyncio.sleep(FAR_BEHIND_MS / 1000.0 + 0.3)
+        await asyncio.sleep(FULL_READ_AFTER_MS / 1000.0 + 0.3)
         self.store.status = None
         await self.wait_for(lambda: len(self.snapshots()) == 2)
 
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/test_store_relay.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/test_store_relay.py
@@ -5,7 +5,7 @@
 from unittest import IsolatedAsyncioTestCase
 
 from geraniumlead.forwarding import ConfigurationSeen, PublishedNews, StoreLost, UpstreamSeen
-from geraniumlead.peering import StoreNews, decode_peering, encode_peering
+from geraniumlead.peering import StoreUpdates, decode_peering, encode_peering
 from geraniumlead_server.platform import StoreClient
 from geraniumlead_server.store_duty import StoreDuty
 from geraniumlead_server.store_follower import StoreFollower
@@ -163,7 +163,7 @@
         revision = self.reader._revision
         self.store.put("servers/i-2", self.entry)
         self.reader.take_relayed(
-            StoreNews(revision + 5, revision + 6, is_after_outage=True), WATCHER
+            StoreUpdates(revision + 5, revision + 6, is_after_outage=True), WATCHER
         )
         async with asyncio.timeout(LONGEST_WAIT_S):
             while "i-2" not in self.known():
--- a/packages/geraniumlead-server/tests/server_tests/peer_transport/test_transport.py
+++ b/packages/geraniumlead-server/tests/server_tests/peer_transport/test_transport.py
@@ -8,7 +8,7 @@
 from geraniumlead.actions import SendToPeer
 from geraniumlead.configuration import ClusterView
 from geraniumlead.documents import InstanceEntry
-from geraniumlead.peering.peer_letter import PeerLetter
+from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
 from geraniumlead.peers import Goodbye, decode_message, encode_message
 from geraniumlead.settings import InstanceSettings, ListenSettings
 from geraniumlead_server.peer_transport import PeerCodec, PeerTransport
@@ -161,8 +161,10 @@
         one = self.add("noord-0", with_keys=False)
         other = self.add("noord-1", with_keys=False)
         for number in range(3):
-            one.transport.send(PeerLetter(f"seed {other.address}", other.address, Goodbye("seed")))
-            one.transport.send(PeerLetter("noord-1", other.address, Goodbye(str(number))))
+            one.transport.send(
+                OutgoingPeerMessage(f"seed {other.address}", other.address, Goodbye("seed"))
+            )
+            one.transport.send(OutgoingPeerMessage("noord-1", other.address, Goodbye(str(number))))
             await asyncio.sleep(0.2)
         await self.wait_for(lambda: len(other.received) == 6)
         self.assertEqual({"noord-0"}, {sender_id for sender_id, _ in other.received})
--- a/packages/geraniumlead-server/tests/server_tests/platform/test_store_records.py
+++ b/packages/geraniumlead-server/tests/server_tests/platform/test_store_records.py
@@ -106,7 +106,7 @@
         configuration = self.read(service="reader").configuration
         self.assertEqual(4096, configuration.limits.header_bytes)
         self.assertEqual(9000.0, configuration.limits.idle_timeout_ms)
-        self.assertEqual(26, configuration.services["reader"].most_connections)
+        self.assertEqual(26, configuration.services["reader"].max_connections)
 
     def test_a_route_without_target_refuses_the_whole_version(self):
         self.assertIsInstance(self.read(), Unreadable)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/fleet_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/fleet_run.py
@@ -18,7 +18,7 @@
     StartAttempt,
     UpstreamSeen,
 )
-from geraniumlead.peering.peer_letter import PeerLetter
+from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
 from geraniumlead_standins.bench.fleet_load.instance import ModelInstance
 from geraniumlead_standins.bench.fleet_load.load import (
     HOST,
@@ -131,7 +131,7 @@
                 self._send(instance, action)
             case CancelAttempt(attempt_id=attempt_id):
                 self._cancelled.add((instance.address, attempt_id))
-            case PeerLetter():
+            case OutgoingPeerMessage():
                 self._pass_letter(instance, action)
             case SendReply(key=key, reply=reply):
                 self._take_reply(key, reply)
@@ -169,7 +169,7 @@
         answer = Completed(200, (), bytes(16), upstream.service)
         instance.take(AttemptEnded(attempt.attempt_id, answer), self._load.costs.answer_ms)
 
-    def _pass_letter(self, sender: ModelInstance, letter: PeerLetter) -> None:
+    def _pass_letter(self, sender: ModelInstance, letter: OutgoingPeerMessage) -> None:
         receiver = self._by_address[letter.address]
         way_ms = self._load.one_way_ms(sender.data_centre, receiver.data_centre)
         heard = PeerHeard(sender.instance_id, letter.message)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/instance.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/instance.py
@@ -13,7 +13,7 @@
     StartAttempt,
     TimePassed,
 )
-from geraniumlead.peering.peer_letter import PeerLetter
+from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
 from geraniumlead_standins.bench.fleet_load.connections import Connections
 from geraniumlead_standins.bench.fleet_load.load import REGIONS, FleetLoad
 from geraniumlead_standins.virtual import EventQueue
@@ -109,7 +109,7 @@
             case StartAttempt(attempt_id=attempt_id, upstream=upstream):
                 is_warm = self.connections.take(attempt_id, upstream.upstream_id, now_ms)
                 return self._costs.warm_part_ms if is_warm else self._costs.cold_part_ms
-            case PeerLetter():
+            case OutgoingPeerMessage():
                 return self._costs.letter_ms
             case LogDecision():
                 self.logged.append(action)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/load.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/load.py
@@ -158,7 +158,7 @@
             timeout_ms=kind.wait_ms,
             latency_goal_ms=kind.goal_ms,
             priority=1,
-            most_upstreams=2,
+            max_upstreams=2,
             allowed_regions=frozenset(),
         )
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_talk.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_talk.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from geraniumlead.peering import PeerContact, PeerDirectory, decode_peering, encode_peering
-from geraniumlead.peering.peer_letter import PeerLetter
+from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
 
 STEP_MS = 100.0
 REGIONS = 3
@@ -66,8 +66,8 @@
         while self._now_ms < until_ms:
             self._now_ms += STEP_MS
             for address, member in self._members.items():
-                self._deliver(address, member.take_letters(1, True, self._now_ms))
-        counts = [member.count(self._now_ms) for member in self._members.values()]
+                self._deliver(address, member.pop_due_hellos(1, True, self._now_ms))
+        counts = [member.instance_count(self._now_ms) for member in self._members.values()]
         scale = seconds * len(self._members)
         return TalkRow(
             self._sent_bytes / scale,
@@ -77,7 +77,7 @@
             max(counts),
         )
 
-    def _deliver(self, sender: str, letters: list[PeerLetter]) -> None:
+    def _deliver(self, sender: str, letters: list[OutgoingPeerMessage]) -> None:
         waiting = [(sender, letters)]
         while waiting:
             sender, letters = waiting.pop()
@@ -85,8 +85,8 @@
                 data = encode_peering(letter.message)
                 self._note_sent(sender, letter.address, len(data) + HEADER_BYTES)
                 receiver = self._members[letter.address]
-                greeted = receiver.hear(decode_peering(data), self._now_ms)
-                answers = [receiver.greet(peer, 1, True, self._now_ms) for peer in greeted]
+                greeted = receiver.handle_hello(decode_peering(data), self._now_ms)
+                answers = [receiver.create_hello(peer, 1, True, self._now_ms) for peer in greeted]
                 waiting.append((letter.address, answers))
 
     def _note_sent(self, sender: str, receiver: str, size: int) -> None:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/forwarder_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/forwarder_run.py
@@ -147,7 +147,7 @@
             timeout_ms=WAIT_GOALS * load.goal_ms,
             latency_goal_ms=load.goal_ms,
             priority=1,
-            most_upstreams=2,
+            max_upstreams=2,
             allowed_regions=frozenset(),
         )
         services = {name: UpstreamService(name, MOST_CONNECTIONS, 0.0) for name in load.names}
--- a/packages/geraniumlead/src/geraniumlead/fleet/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Know the upstreams that are there, from what they and operators publish."""
+"""The known upstreams, as they and the operators publish them."""
 
 from geraniumlead.fleet.fleet_view import FleetView
 from geraniumlead.fleet.upstream_record import UpstreamRecord
--- a/packages/geraniumlead/src/geraniumlead/fleet/fleet_view.py
+++ b/packages/geraniumlead/src/geraniumlead/fleet/fleet_view.py
@@ -1,18 +1,17 @@
-"""Hold the upstreams that may be used now."""
-
 from geraniumlead.fleet.upstream_record import UpstreamRecord
 
 LAPSE_HOLD_MS = 2_200.0
-"""Upstreams that live publish themselves again within 2 s of the platform's return."""
+"""Time for which removals are delayed after an outage of the store; live upstreams publish their
+entries again within 2 s of its return."""
 
 
 class FleetView:
-    """Index upstreams by service and leave out those that may not be used.
+    """The known upstreams, and which of them may be used for each service.
 
-    Failure: while the platform's store is away, upstreams cannot renew their entries, and
-    the store comes back without them. Believed at once, the news would leave a service
-    without any upstream although all of them live. So what disappears is kept for
-    LAPSE_HOLD_MS after the store was away; entries that are still missing then are gone.
+    Failure: while the platform's store is unavailable, upstreams cannot renew their entries, and
+    the store comes back without them. Applied at once, these removals would leave a service
+    without any upstream although all of them live. So for LAPSE_HOLD_MS after the return of the
+    store removed upstreams are kept; those that are still missing then are forgotten.
     """
 
     __slots__ = (
@@ -33,15 +32,15 @@
         self._read_ms: float | None = None
 
     def __len__(self) -> int:
-        """Return the number of known upstreams."""
+        """Return the number of known upstreams, usable or not."""
         return len(self._records)
 
-    def note_read(self, read_ms: float) -> None:
-        """Note that the view is as the platform's store was at a time, or newer."""
+    def record_read(self, read_ms: float) -> None:
+        """Record that the view is at least as recent as the store was at ``read_ms``."""
         self._read_ms = read_ms if self._read_ms is None else max(read_ms, self._read_ms)
 
     def age_ms(self, now_ms: float) -> float | None:
-        """Return how old the view is at the most; None before the first reading."""
+        """Return the maximum age of the view; None before the first read."""
         return None if self._read_ms is None else now_ms - self._read_ms
 
     def get(self, upstream_id: str) -> UpstreamRecord | None:
@@ -53,17 +52,17 @@
         return frozenset(self._records)
 
     def put(self, record: UpstreamRecord) -> UpstreamRecord | None:
-        """Take over what an upstream published; return what it had published before."""
-        before = self._records.get(record.upstream_id)
+        """Add or replace the record of an upstream; return the previous one."""
+        previous = self._records.get(record.upstream_id)
         self._leaving_ms.pop(record.upstream_id, None)
-        if before is not None and before.service != record.service:
+        if previous is not None and previous.service != record.service:
             self._forget(record.upstream_id)
         self._records[record.upstream_id] = record
         self._by_service.setdefault(record.service, {})[record.upstream_id] = record
-        return before
+        return previous
 
     def remove(self, upstream_id: str, now_ms: float) -> bool:
-        """Forget an upstream, now or after the hold; return whether it is forgotten."""
+        """Forget an upstream, now or after LAPSE_HOLD_MS; return whether it is forgotten."""
         if upstream_id not in self._records:
             return False
         if now_ms < self._hold_until_ms:
@@ -72,28 +71,28 @@
         self._forget(upstream_id)
         return True
 
-    def note_platform_returned(self, now_ms: float) -> None:
-        """Hold what disappears from now on, for the store was away."""
+    def record_platform_return(self, now_ms: float) -> None:
+        """Delay removals from now on, since the store was unavailable."""
         self._hold_until_ms = now_ms + LAPSE_HOLD_MS
 
     def set_evacuated(self, data_centres: frozenset[str]) -> None:
-        """Take over the data centres whose upstreams are to get nothing."""
+        """Replace the data centres whose upstreams get no requests."""
         self._evacuated = data_centres
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """Return the data centres whose upstreams get nothing."""
+        """Return the data centres whose upstreams get no requests."""
         return self._evacuated
 
     def expire(self, now_ms: float) -> list[str]:
-        """Forget what was held long enough; return the ids."""
+        """Forget the upstreams whose delayed removal is due; return their ids."""
         due = [name for name, due_ms in self._leaving_ms.items() if due_ms <= now_ms]
         for upstream_id in due:
             self._forget(upstream_id)
         return due
 
     def next_wake_ms(self) -> float | None:
-        """Return when ``expire`` has to be called."""
+        """Return when ``expire`` has to be called; None when no removal is delayed."""
         return min(self._leaving_ms.values()) if self._leaving_ms else None
 
     def usable(self, service: str) -> list[UpstreamRecord]:
--- a/packages/geraniumlead/src/geraniumlead/fleet/upstream_record.py
+++ b/packages/geraniumlead/src/geraniumlead/fleet/upstream_record.py
@@ -1,15 +1,13 @@
-"""Define what an upstream publishes of itself."""
-
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRecord:
-    """Describe one upstream as it last published itself.
+    """The last entry that an upstream published about itself.
 
     ``is_ready`` is False for one that drains. ``cold_left_ms`` is the time for which it is
-    still slow after its start. ``started_ms`` (Unix time) tells two lives under one id
-    apart; None when it does not say.
+    still slow after its start. ``started_ms`` (Unix time) tells two processes with the same id
+    apart; None when the entry has no start time.
     """
 
     upstream_id: str
@@ -21,8 +19,8 @@
     cold_left_ms: float = 0.0
     started_ms: int | None = None
 
-    def is_same_life(self, other: "UpstreamRecord") -> bool:
-        """Return whether both are of one start of one upstream."""
+    def is_same_start(self, other: "UpstreamRecord") -> bool:
+        """Return whether both records are of the same process of an upstream."""
         return (self.address, self.service, self.started_ms) == (
             other.address,
             other.service,
--- a/packages/geraniumlead/src/geraniumlead/forwarding/actions.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/actions.py
@@ -5,8 +5,8 @@
 from geraniumlead.fleet import UpstreamRecord
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
 from geraniumlead.forwarding.replies import Reply
-from geraniumlead.peering import DelegatedReply, DelegationTaken
-from geraniumlead.peering.peer_letter import PeerLetter
+from geraniumlead.peering import DelegatedReply, DelegationAcknowledged
+from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     """Tell a peer what became of the shards that it asked for."""
 
     sender_id: str
-    message: DelegatedReply | DelegationTaken
+    message: DelegatedReply | DelegationAcknowledged
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,4 +51,6 @@
     level: str = "info"
 
 
-ForwardingAction = StartAttempt | CancelAttempt | SendReply | LogDecision | PeerReply | PeerLetter
+ForwardingAction = (
+    StartAttempt | CancelAttempt | SendReply | LogDecision | PeerReply | OutgoingPeerMessage
+)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/attempt_book.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/attempt_book.py
@@ -54,7 +54,7 @@
         """Return the upstream for the next attempt of a leg; None when there is none."""
         opened = leg.request
         service = opened.configuration.services.get(leg.service)
-        if service is None or len(leg.sent_to) >= opened.route.most_upstreams:
+        if service is None or len(leg.sent_to) >= opened.route.max_upstreams:
             return None
         usual_ms = self.clock.usual_ms(opened.route, now_ms)
         return self.chooser.choose(
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegation_plan.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegation_plan.py
@@ -103,7 +103,7 @@
                 peer
                 for peer in self._directory.peers.values()
                 if self._region_of(peer.contact.data_centre) in regions
-                and self._directory.is_reached(peer, now_ms)
+                and self._directory.is_reachable(peer, now_ms)
                 and self._gatherers.is_able(peer, opened, now_ms)
             ]
             if peers:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegations.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegations.py
@@ -11,12 +11,12 @@
     DelegatedReply,
     DelegatedRequest,
     DelegationCancelled,
-    DelegationShared,
+    DelegationHedged,
     KnownPeer,
     PeerContact,
     PeeringMessage,
 )
-from geraniumlead.peering.peer_letter import PeerLetter
+from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
 from geraniumlead.routes import FanOut, Route
 
 REPLY_SLACK_MS = 40.0
@@ -97,10 +97,10 @@
 
     def start(
         self, opened: OpenRequest, legs: list[Leg], peer: KnownPeer, now_ms: float
-    ) -> PeerLetter:
+    ) -> OutgoingPeerMessage:
         """Ask a peer to ask the shards."""
         self._next += 1
-        way_ms = peer.usual_way_ms
+        way_ms = peer.estimated_delay_ms
         request = opened.request
         time_left_ms = max(0.0, opened.end_ms - now_ms - way_ms)
         work_ms = max(PEER_WORK_MS, self._reply_delay.high_ms(now_ms))
@@ -134,13 +134,15 @@
             goal_left_ms=goal_left_ms,
             sender=self._own_contact,
         )
-        return PeerLetter(peer.contact.instance_id, peer.contact.address, message)
+        return OutgoingPeerMessage(peer.contact.instance_id, peer.contact.address, message)
 
     def _word_patience_ms(self, peer: KnownPeer, goal_left_ms: float, now_ms: float) -> float:
         """Return how long a peer may take to say that it serves a request."""
         delay_ms = WORD_DELAY_FACTOR * self._word_delay.high_ms(now_ms)
-        usual_ms = 2.0 * peer.usual_way_ms + delay_ms
-        return max(peer.word_ms, min(usual_ms, MOST_TAKEN_GOAL_SHARE * goal_left_ms))
+        usual_ms = 2.0 * peer.estimated_delay_ms + delay_ms
+        return max(
+            peer.acknowledgement_timeout_ms, min(usual_ms, MOST_TAKEN_GOAL_SHARE * goal_left_ms)
+        )
 
     def note_taken(self, number: int, now_ms: float) -> None:
         """Note that a peer serves a request; from now on it has until the goal to reply.
@@ -153,7 +155,7 @@
             return
         delegation.is_taken = True
         word_ms = now_ms - delegation.asked_ms
-        self._word_delay.note(word_ms - 2.0 * delegation.peer.usual_way_ms, now_ms)
+        self._word_delay.note(word_ms - 2.0 * delegation.peer.estimated_delay_ms, now_ms)
         if delegation.lateness is not Lateness.REPLY:
             self._set_due(delegation, delegation.reply_due_ms)
 
@@ -187,7 +189,7 @@
             delegation.opened.delegations.discard(number)
         return delegation
 
-    def cancel(self, opened: OpenRequest) -> list[PeerLetter]:
+    def cancel(self, opened: OpenRequest) -> list[OutgoingPeerMessage]:
         """Forget a request's delegations; return what the peers are told."""
         taken = [self.take(number) for number in sorted(opened.delegations)]
         return [self.cancel_letter(found) for found in taken if found is not None]
@@ -206,7 +208,7 @@
                 self._set_due(delegation, now_ms + (now_ms - due_ms))
                 continue
             # Nothing more is passed to it until it is heard again.
-            delegation.peer.silent_ms = now_ms
+            delegation.peer.silent_since_ms = now_ms
             self._note_late(delegation, now_ms)
             overdue.append(delegation)
         return overdue
@@ -228,17 +230,17 @@
         """Return when ``take_overdue`` has something to do."""
         return self._wakes.next_ms()
 
-    def shared_letter(self, delegation: Delegation) -> PeerLetter:
+    def shared_letter(self, delegation: Delegation) -> OutgoingPeerMessage:
         """Return what a peer is told whose shards are asked from here as well."""
-        return self._letter(delegation, DelegationShared(delegation.number))
+        return self._letter(delegation, DelegationHedged(delegation.number))
 
-    def cancel_letter(self, delegation: Delegation) -> PeerLetter:
+    def cancel_letter(self, delegation: Delegation) -> OutgoingPeerMessage:
         """Return what a peer is told whose shards nobody waits for."""
         return self._letter(delegation, DelegationCancelled(delegation.number))
 
-    def _letter(self, delegation: Delegation, message: PeeringMessage) -> PeerLetter:
+    def _letter(self, delegation: Delegation, message: PeeringMessage) -> OutgoingPeerMessage:
         contact = delegation.peer.contact
-        return PeerLetter(contact.instance_id, contact.address, message)
+        return OutgoingPeerMessage(contact.instance_id, contact.address, message)
 
 
 def find_delegated_route(message: DelegatedRequest, configuration) -> Route | None:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/gatherers.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/gatherers.py
@@ -97,7 +97,7 @@
             self._near = {}
             self._ranked.clear()
             for peer in self._directory.peers.values():
-                if self._directory.may_be_asked(peer, now_ms):
+                if self._directory.may_be_reachable(peer, now_ms):
                     contact = peer.contact
                     self._near.setdefault(contact.data_centre, {})[contact.instance_id] = peer
             for peers in self._near.values():
@@ -111,9 +111,9 @@
         return (
             (serves or not is_fresh)
             and now_ms - peer.declined_ms >= DECLINED_MS
-            and now_ms - peer.began_ms >= NEW_PEER_MS
+            and now_ms - peer.started_ms >= NEW_PEER_MS
             and peer.open_delegations < MOST_OPEN
-            and self._directory.may_be_asked(peer, now_ms)
+            and self._directory.may_be_reachable(peer, now_ms)
             and self._is_near_enough(peer, opened.goal_ms - now_ms)
         )
 
@@ -121,7 +121,7 @@
         """Return whether a peer that stays silent is noticed while the goal can be met."""
         if goal_left_ms < LEAST_GOAL_LEFT_MS:
             return True
-        return peer.word_ms <= MOST_TAKEN_GOAL_SHARE * goal_left_ms
+        return peer.acknowledgement_timeout_ms <= MOST_TAKEN_GOAL_SHARE * goal_left_ms
 
     def load_of(self, peer: KnownPeer) -> tuple[int, float]:
         """Return what to compare peers by; equals share the load."""
@@ -130,6 +130,8 @@
 
 def _assume_ways(peers: Iterable[KnownPeer]) -> None:
     """Give peers whose way is unknown the shortest of the others of their data centre."""
-    way_ms = min((peer.way_ms for peer in peers if peer.way_ms is not None), default=None)
+    way_ms = min(
+        (peer.one_way_delay_ms for peer in peers if peer.one_way_delay_ms is not None), default=None
+    )
     for peer in peers:
-        peer.assumed_way_ms = way_ms
+        peer.assumed_delay_ms = way_ms
--- a/packages/geraniumlead/src/geraniumlead/forwarding/open_request.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/open_request.py
@@ -92,7 +92,7 @@
             # Whether it is enough is for the peer to say, which has the other shards.
             return 0
         match self.route.target:
-            case FanOut(shards=shards, least_share=least_share):
+            case FanOut(shards=shards, min_share=least_share):
                 return max(1, least_count(len(shards), least_share))
         return 1
 
--- a/packages/geraniumlead/src/geraniumlead/forwarding/peer_desk.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/peer_desk.py
@@ -8,15 +8,15 @@
     CrashNotice,
     DelegatedReply,
     DelegatedRequest,
+    DelegationAcknowledged,
     DelegationCancelled,
-    DelegationShared,
-    DelegationTaken,
-    Farewell,
+    DelegationHedged,
+    Goodbye,
     Hello,
     PeerDirectory,
     PeeringMessage,
 )
-from geraniumlead.peering.peer_letter import PeerLetter
+from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
 
 MOST_TOLD = 40
 """Peers that are told of a crash: all of today's. In larger fleets each of them tells others
@@ -53,29 +53,29 @@
         """Take in one message."""
         match message:
             case Hello():
-                for peer in self.directory.hear(message, now_ms):
-                    letter = self.directory.greet(peer, self._version(), is_ready, now_ms)
+                for peer in self.directory.handle_hello(message, now_ms):
+                    letter = self.directory.create_hello(peer, self._version(), is_ready, now_ms)
                     self._actions.append(letter)
-            case Farewell():
-                self.directory.take_farewell(sender_id, message)
+            case Goodbye():
+                self.directory.handle_goodbye(sender_id, message)
             case DelegatedRequest():
                 self._serve(sender_id, message, now_ms, is_ready)
-            case DelegationTaken(number=number):
-                self.directory.note_response(sender_id)
+            case DelegationAcknowledged(number=number):
+                self.directory.record_response(sender_id)
                 self._runner.delegated.delegations.note_taken(number, now_ms)
             case DelegatedReply(number=number):
-                self.directory.note_response(sender_id)
+                self.directory.record_response(sender_id)
                 delegation = self._runner.delegated.delegations.take_reply(number, message, now_ms)
                 if delegation is not None:
                     self._runner.take_delegated(delegation, message, now_ms)
             case CrashNotice(fingerprint=fingerprint, upstream_ids=upstream_ids):
                 self._runner.crashes.hear(fingerprint, upstream_ids, now_ms)
-            case DelegationCancelled() | DelegationShared():
+            case DelegationCancelled() | DelegationHedged():
                 self._follow_sender(sender_id, message, now_ms)
 
     def wake(self, now_ms: float, is_ready: bool) -> None:
         """Say hello where it is due, and ask what peers did not take."""
-        self._actions += self.directory.take_letters(self._version(), is_ready, now_ms)
+        self._actions += self.directory.pop_due_hellos(self._version(), is_ready, now_ms)
         for delegation in self._runner.delegated.delegations.take_overdue(now_ms):
             fields = {
                 "peer": delegation.peer.contact.instance_id,
@@ -92,7 +92,9 @@
             notice = CrashNotice(fingerprint, upstream_ids)
             for peer in self.directory.live(now_ms)[:MOST_TOLD]:
                 contact = peer.contact
-                self._actions.append(PeerLetter(contact.instance_id, contact.address, notice))
+                self._actions.append(
+                    OutgoingPeerMessage(contact.instance_id, contact.address, notice)
+                )
         if now_ms >= self._count_due_ms:
             self._count_due_ms = now_ms + COUNT_MS
             self._count_instances(now_ms)
@@ -103,7 +105,7 @@
 
     def say_farewell(self, now_ms: float) -> None:
         """Tell peers that no new work is taken."""
-        self._actions += self.directory.farewells(now_ms)
+        self._actions += self.directory.create_goodbyes(now_ms)
 
     def route(self, action: ForwardingAction) -> ForwardingAction | None:
         """Give a reply to a peer its address; leave all else as it is."""
@@ -116,19 +118,19 @@
         self, sender_id: str, message: DelegatedRequest, now_ms: float, is_ready: bool
     ) -> None:
         if message.sender is not None:
-            self.directory.introduce(message.sender, now_ms)
+            self.directory.add_contact(message.sender, now_ms)
         configuration = self._published.configuration
         route = find_delegated_route(message, configuration)
         if route is None or configuration is None or not is_ready:
             declined = DelegatedReply(message.number, is_declined=True)
             self._actions.append(PeerReply(sender_id, declined))
             return
-        self._actions.append(PeerReply(sender_id, DelegationTaken(message.number)))
+        self._actions.append(PeerReply(sender_id, DelegationAcknowledged(message.number)))
         request = self._runner.delegated.desk.accept(sender_id, message, now_ms)
         self._runner.start(request, route, configuration, now_ms)
 
     def _follow_sender(
-        self, sender_id: str, message: DelegationCancelled | DelegationShared, now_ms: float
+        self, sender_id: str, message: DelegationCancelled | DelegationHedged, now_ms: float
     ) -> None:
         """Take in what becomes of a request that is served for a peer."""
         desk = self._runner.delegated.desk
@@ -137,13 +139,13 @@
                 key = desk.take_key(sender_id, number)
                 if key is not None:
                     self._runner.drop(key, now_ms)
-            case DelegationShared(number=number):
+            case DelegationHedged(number=number):
                 key = desk.find_key(sender_id, number)
                 if key is not None:
                     self._runner.note_shared(key)
 
     def _count_instances(self, now_ms: float) -> None:
-        count = self.directory.count(now_ms)
+        count = self.directory.instance_count(now_ms)
         live = [peer.contact.instance_id for peer in self.directory.live(now_ms)]
         if (count, live) != self._counted:
             self._counted = count, live
@@ -151,11 +153,11 @@
             fields = {"instances": count, "live": len(live), "live_peers": live[:MOST_LOGGED]}
             self._actions.append(LogDecision("peers", fields))
 
-    def _letter(self, instance_id: str, message: PeeringMessage) -> PeerLetter | None:
+    def _letter(self, instance_id: str, message: PeeringMessage) -> OutgoingPeerMessage | None:
         peer = self.directory.peers.get(instance_id)
         if peer is None:
             return None
-        return PeerLetter(instance_id, peer.contact.address, message)
+        return OutgoingPeerMessage(instance_id, peer.contact.address, message)
 
     def _version(self) -> int:
         configuration = self._published.configuration
--- a/packages/geraniumlead/src/geraniumlead/forwarding/published_state.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/published_state.py
@@ -78,9 +78,9 @@
     def take(self, event: PublishedNews, now_ms: float) -> None:
         """Take over what was read."""
         self._note_answered(now_ms)
-        self._fleet.note_read(now_ms - event.age_ms)
+        self._fleet.record_read(now_ms - event.age_ms)
         if event.is_after_outage:
-            self._fleet.note_platform_returned(now_ms)
+            self._fleet.record_platform_return(now_ms)
         for item in event.news:
             match item:
                 case ConfigurationSeen(configuration=configuration):
@@ -120,7 +120,7 @@
             # The store may have been silent for long before a call failed.
             away_ms = now_ms - self.seen_ms
             if away_ms >= AWAY_MS:
-                self._fleet.note_platform_returned(now_ms)
+                self._fleet.record_platform_return(now_ms)
             self._log("store_regained", {"away_ms": round(now_ms - self._lost_since_ms)})
             self._lost_since_ms = None
         self.seen_ms = now_ms
@@ -135,7 +135,7 @@
 
     def _take_upstream(self, record: UpstreamRecord, now_ms: float) -> None:
         before = self._fleet.put(record)
-        if before is not None and before.is_same_life(record):
+        if before is not None and before.is_same_start(record):
             self._chooser.cold.note_cold(record.upstream_id, record.cold_left_ms, now_ms)
             if before.is_ready != record.is_ready:
                 fields = {"upstream": record.upstream_id, "ready": record.is_ready}
--- a/packages/geraniumlead/src/geraniumlead/forwarding/upstream_chooser.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/upstream_chooser.py
@@ -161,7 +161,7 @@
         return self._settings.regions.get(record.data_centre) == self._settings.region
 
     def _connection_share(self, service: UpstreamService) -> int:
-        return max(LEAST_CONNECTIONS, service.most_connections // self._instances)
+        return max(LEAST_CONNECTIONS, service.max_connections // self._instances)
 
     def _is_allowed(self, route: Route, record: UpstreamRecord) -> bool:
         if not route.allowed_regions:
--- a/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
@@ -6,12 +6,12 @@
 from geraniumlead.events import DocumentsReceived, PlatformSilent
 from geraniumlead.instance.call_handler import CallHandler
 from geraniumlead.instance.parts import InstanceParts
-from geraniumlead.membership import PlatformContact
+from geraniumlead.membership import PlatformFreshness
 from geraniumlead.ownership import OwnerTable
 from geraniumlead.peers import (
     ANY_NONCE,
+    DocumentsRequest,
     DocumentsUpdate,
-    DocumentsWanted,
     Goodbye,
     Heartbeat,
     Probe,
@@ -50,7 +50,7 @@
         self._owners = OwnerTable(parts.store.view)
         self._questions = QuestionGate()
         self._reread_ms = float("-inf")
-        self.contact = PlatformContact(parts.random)
+        self.contact = PlatformFreshness(parts.random)
         self.watching = False
 
     def start(self) -> None:
@@ -66,7 +66,7 @@
     def read_if_nobody_does(self, now_ms: float) -> None:
         """Read the platform when neither a watcher nor a peer has news from it."""
         local = 1 + len(self._parts.membership.local_peers())
-        if self.contact.takes_over(self.watching, local, now_ms):
+        if self.contact.should_read(self.watching, local, now_ms):
             self.read_anew()
 
     def take_documents(self, event: DocumentsReceived, now_ms: float) -> None:
@@ -85,7 +85,7 @@
         elif event.revision > store.revision:
             self._reread(now_ms)
         else:
-            self.contact.note_heard(now_ms)
+            self.contact.record_heard(now_ms)
 
     def take_silence(self, event: PlatformSilent) -> None:
         """Note that the platform did not answer; what is in force stays in force."""
@@ -115,9 +115,9 @@
     def ask(self, peer_id: str, revision: int, now_ms: float) -> None:
         """Ask a peer for the documents up to its revision, unless that was asked just now."""
         if self._questions.may_ask(self._parts.store.revision, revision, now_ms):
-            self._parts.send(peer_id, DocumentsWanted(self._parts.store.revision))
+            self._parts.send(peer_id, DocumentsRequest(self._parts.store.revision))
 
-    def give_documents(self, sender_id: str, message: DocumentsWanted) -> None:
+    def give_documents(self, sender_id: str, message: DocumentsRequest) -> None:
         """Send a peer the documents that it lacks."""
         store = self._parts.store
         documents = store.documents_above(message.above_revision)
@@ -131,7 +131,7 @@
         membership = self._parts.membership
         known = membership.peers.get(sender_id)
         known_incarnation = None if known is None else known.incarnation
-        peer = membership.hear(sender_id, message, now_ms)
+        peer = membership.handle_message(sender_id, message, now_ms)
         if peer is None:
             return
         if peer.incarnation != known_incarnation:
@@ -146,13 +146,13 @@
             return
         # An age counts only together with the revision that was heard then.
         if heartbeat.platform_age_ms is not None:
-            self.contact.note_relayed(heartbeat.platform_age_ms, now_ms)
+            self.contact.record_relayed_age(heartbeat.platform_age_ms, now_ms)
         if heartbeat.revision != store.revision:
             return
         if self._divergence.must_ask(store.digest, heartbeat.digest, now_ms):
             fields = {"peer": sender_id, "revision": store.revision}
             parts.actions.append(Report("configuration_diverged", fields, "error"))
-            parts.send(sender_id, DocumentsWanted(EVERYTHING))
+            parts.send(sender_id, DocumentsRequest(EVERYTHING))
 
     def _spread(self, update: DocumentsUpdate) -> None:
         parts = self._parts
--- a/packages/geraniumlead/src/geraniumlead/instance/heartbeat_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/heartbeat_handler.py
@@ -40,7 +40,7 @@
             digest=parts.store.digest,
             stopping=parts.lifecycle.is_stopping,
         )
-        targets = dict.fromkeys(parts.membership.take_beat_targets(parts.random))
+        targets = dict.fromkeys(parts.membership.next_heartbeat_targets(parts.random))
         targets |= dict.fromkeys(list(reports)[:MOST_OWN_REPORTS])
         for instance_id in targets:
             own = reports.get(instance_id)
@@ -50,5 +50,5 @@
 
     def _probe_silent(self, interval_ms: float, now_ms: float) -> None:
         parts = self._parts
-        for instance_id in parts.membership.take_probe_targets(interval_ms, now_ms):
+        for instance_id in parts.membership.next_probe_targets(interval_ms, now_ms):
             parts.send(instance_id, Probe(ANY_NONCE, parts.store.revision))
--- a/packages/geraniumlead/src/geraniumlead/instance/instance.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/instance.py
@@ -27,8 +27,8 @@
 from geraniumlead.instance.upstream_report import report_services, report_upstreams
 from geraniumlead.peers import (
     CancelBatch,
+    DocumentsRequest,
     DocumentsUpdate,
-    DocumentsWanted,
     Goodbye,
     Heartbeat,
     PeerMessage,
@@ -191,13 +191,13 @@
         if sender_id not in self.parts.membership.peers:
             # Nothing can be sent back to it, so work for it would be for nobody.
             return
-        self.parts.membership.note_heard(sender_id, now_ms)
+        self.parts.membership.record_heard(sender_id, now_ms)
         match message:
             case Heartbeat() | Goodbye():
                 self._configuration.take_sign_of_life(sender_id, message, now_ms)
                 if isinstance(message, Heartbeat):
                     self.parts.admission.hear(sender_id, message.demand, now_ms)
-            case DocumentsWanted():
+            case DocumentsRequest():
                 self._configuration.give_documents(sender_id, message)
             case DocumentsUpdate():
                 self._configuration.take_update(sender_id, message, now_ms)
@@ -239,7 +239,7 @@
             self._stop.exit_if_done(now_ms)
         for peer_id, message in self.parts.batcher.take_due(now_ms):
             if self.parts.send(peer_id, message) and isinstance(message, SubqueryBatch):
-                self.parts.membership.note_asked(peer_id, now_ms)
+                self.parts.membership.record_sent(peer_id, now_ms)
 
     def _take_actions(self) -> list[Action]:
         actions, self.parts.actions = self.parts.actions, []
--- a/packages/geraniumlead/src/geraniumlead/instance/stop_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/stop_handler.py
@@ -29,7 +29,7 @@
         if not parts.lifecycle.ask_stop(now_ms):
             return
         parts.actions.append(Report("stopping", {"work_in_hand": self.count_work()}))
-        for instance_id in parts.membership.find_farewell_targets():
+        for instance_id in parts.membership.find_goodbye_targets():
             parts.send(instance_id, Goodbye(parts.incarnation))
 
     def exit_if_done(self, now_ms: float) -> None:
--- a/packages/geraniumlead/src/geraniumlead/membership/membership.py
+++ b/packages/geraniumlead/src/geraniumlead/membership/membership.py
@@ -1,45 +1,43 @@
-"""Follow the peers of the published list by what is heard of them."""
-
 from random import Random
 
-from geraniumlead.beats import BeatRotation
 from geraniumlead.configuration.cluster_view import ClusterView
 from geraniumlead.hashing import rank_by_rendezvous
+from geraniumlead.heartbeats import HeartbeatRotation
 from geraniumlead.membership.peer import Peer
 from geraniumlead.peers.messages import Goodbye, Heartbeat
 
 WATCHERS_PER_DATA_CENTRE = 2
-"""Instances of a data centre that keep a watch on the platform; one may fail at any time."""
+"""Instances of a data centre that watch the platform, so that any one of them may fail."""
 
-LOCAL_BEATS = 12
-"""Peers of the own data centre in one beat: all of them at today's size, and with the remote
-ones about 32 messages a second at any size."""
+LOCAL_PEERS_PER_HEARTBEAT = 12
+"""Peers of the same data centre that one heartbeat goes to: all of them in data centres of up to
+13 instances. Together with the remote ones that is about 32 messages a second at any size."""
 
-REMOTE_BEATS = 4
-"""Peers of other data centres in one beat: all of them at today's size. At the target all
-instances of a data centre together send 920 beats to others, so news cross within one."""
+REMOTE_PEERS_PER_HEARTBEAT = 4
+"""Peers of other data centres that one heartbeat goes to: all of them where there are at most four.
+At the target size all instances of a data centre together send 920 heartbeats to other data
+centres, so updates reach them within one heartbeat."""
 
-REMOTE_CONTACTS = 2
-"""Peers of each other data centre that beats go to, where there are more than one beat
-reaches: to go through all of them would open a connection to every instance."""
+REMOTE_PEERS_PER_DATA_CENTRE = 2
+"""Peers of each other data centre that get heartbeats when there are more remote peers than
+REMOTE_PEERS_PER_HEARTBEAT: a rotation over all would open a connection to every instance."""
 
-PROBES_PER_BEAT = 16
-"""Silent peers that are asked for a sign of life in one beat, so that a whole data centre
-that fell silent does not turn into a burst of messages."""
+PROBES_PER_HEARTBEAT = 16
+"""Largest number of silent peers that are probed in one heartbeat interval, so that a whole silent
+data centre does not cause a burst of messages."""
 
 
 class Membership:
-    """Know the listed peers, which of them can be reached, and who watches the platform.
+    """The listed peers, which of them are reachable, and which instances watch the platform.
 
-    A peer is judged by the path that is used: in a group small enough that every beat
-    reaches all, silence is enough; in a larger one a peer counts as reachable until work
-    sent to it, or a probe, stays without any message of its own for the peer timeout. So a
-    one-way cut counts as a loss, though others still hear the peer, and no list of
-    suspicions is passed around.
+    Only the path between this instance and a peer decides whether the peer is reachable. In a
+    group in which every heartbeat goes to all, a peer is unreachable when nothing was heard from
+    it for the peer timeout. In a larger group it is unreachable when no message of any kind
+    follows a request or probe to it for the peer timeout. So a one-way network failure counts
+    as a loss, though others still hear the peer, and no list of suspected peers is exchanged.
     """
 
     __slots__ = (
-        "_awaited",
         "_data_centre",
         "_instance_id",
         "_local",
@@ -47,6 +45,7 @@
         "_peer_timeout_ms",
         "_remote",
         "_remote_count",
+        "_unanswered",
         "peers",
     )
 
@@ -54,20 +53,20 @@
         self._instance_id = instance_id
         self._data_centre = data_centre
         self._peer_timeout_ms = peer_timeout_ms
-        self._local = BeatRotation(LOCAL_BEATS)
-        self._remote = BeatRotation(REMOTE_BEATS)
+        self._local = HeartbeatRotation(LOCAL_PEERS_PER_HEARTBEAT)
+        self._remote = HeartbeatRotation(REMOTE_PEERS_PER_HEARTBEAT)
         self._remote_count = 0
-        self._awaited: dict[str, None] = {}
+        self._unanswered: dict[str, None] = {}
         self._own_state = "live"
         self.peers: dict[str, Peer] = {}
 
     @property
     def is_leaving(self) -> bool:
-        """Return whether the published list says that this instance leaves."""
+        """Return whether the published list marks this instance as leaving."""
         return self._own_state == "leaving"
 
     def update(self, view: ClusterView) -> None:
-        """Take over the published lists; what was heard of a peer is kept."""
+        """Replace the published lists; the state of peers that are still listed is kept."""
         listed = {
             entry.instance_id: (entry, data_centre)
             for data_centre, entries in view.instances.items()
@@ -77,7 +76,7 @@
         self._own_state = "live" if own is None else own[0].state
         for name in self.peers.keys() - listed.keys():
             del self.peers[name]
-            self._awaited.pop(name, None)
+            self._unanswered.pop(name, None)
         for name, (entry, data_centre) in listed.items():
             peer = self.peers.get(name)
             if peer is None:
@@ -87,58 +86,60 @@
         self._local.update(name for name in listed if self._is_local(name))
         self._update_remote([name for name in listed if not self._is_local(name)])
 
-    def hear(self, sender_id: str, message: Heartbeat | Goodbye, now_ms: float) -> Peer | None:
-        """Note a sign of life or a farewell; None for a sender that is not listed."""
+    def handle_message(
+        self, sender_id: str, message: Heartbeat | Goodbye, now_ms: float
+    ) -> Peer | None:
+        """Apply a heartbeat or goodbye; return its sender, or None if it is not listed."""
         peer = self.peers.get(sender_id)
         if peer is None:
             return None
-        self.note_heard(sender_id, now_ms)
+        self.record_heard(sender_id, now_ms)
         match message:
             case Heartbeat():
-                self._take_heartbeat(peer, message)
+                self._apply_heartbeat(peer, message)
             case Goodbye(incarnation=incarnation):
                 peer.left_incarnation = incarnation
         return peer
 
-    def note_heard(self, sender_id: str, now_ms: float) -> None:
-        """Note that any message came from a peer: it lives, and its way here works."""
+    def record_heard(self, sender_id: str, now_ms: float) -> None:
+        """Record a message of any kind from a peer: it lives, and its messages arrive here."""
         peer = self.peers.get(sender_id)
         if peer is not None:
             peer.heard_ms = now_ms
             peer.unanswered_since_ms = None
-            self._awaited.pop(sender_id, None)
+            self._unanswered.pop(sender_id, None)
 
-    def note_asked(self, instance_id: str, now_ms: float) -> None:
-        """Note that work or a probe was sent to a peer, which must be heard after it."""
+    def record_sent(self, instance_id: str, now_ms: float) -> None:
+        """Record that work or a probe was sent to a peer, which has to send a message after it."""
         peer = self.peers.get(instance_id)
         if peer is not None and peer.unanswered_since_ms is None:
             peer.unanswered_since_ms = now_ms
-            self._awaited[instance_id] = None
+            self._unanswered[instance_id] = None
 
-    def take_beat_targets(self, random: Random) -> list[str]:
-        """Return the peers that this beat goes to."""
-        return [*self._local.take(random), *self._remote.take(random)]
+    def next_heartbeat_targets(self, random: Random) -> list[str]:
+        """Return the peers that the next heartbeat goes to."""
+        return [*self._local.next_targets(random), *self._remote.next_targets(random)]
 
-    def find_farewell_targets(self) -> list[str]:
-        """Return the peers that are told of a stop at once; others are when they send work."""
-        remote_too = self._remote_count <= REMOTE_BEATS
+    def find_goodbye_targets(self) -> list[str]:
+        """Return the peers that get a goodbye at once; others get it when they send work."""
+        remote_too = self._remote_count <= REMOTE_PEERS_PER_HEARTBEAT
         return [name for name in self.peers if remote_too or self._is_local(name)]
 
-    def take_probe_targets(self, interval_ms: float, now_ms: float) -> list[str]:
-        """Return peers that were asked an interval ago or more and are still silent.
+    def next_probe_targets(self, interval_ms: float, now_ms: float) -> list[str]:
+        """Return peers that sent nothing since work or a probe at least an interval ago.
 
-        A cancelled subquery is never answered, so silence after work proves nothing by
-        itself; silence after a probe does.
+        A cancelled subquery is never answered, so silence after work alone is no evidence of a
+        failure; silence after a probe is.
         """
         due = []
-        for name in list(self._awaited)[: 4 * PROBES_PER_BEAT]:
+        for name in list(self._unanswered)[: 4 * PROBES_PER_HEARTBEAT]:
             since_ms = self.peers[name].unanswered_since_ms
             if since_ms is not None and now_ms - since_ms >= interval_ms:
                 due.append(name)
-                # To the end, so that the next beat asks others first.
-                del self._awaited[name]
-                self._awaited[name] = None
-            if len(due) == PROBES_PER_BEAT:
+                # Move it to the end, so that the next heartbeat interval probes others first.
+                del self._unanswered[name]
+                self._unanswered[name] = None
+            if len(due) == PROBES_PER_HEARTBEAT:
                 break
         return due
 
@@ -150,7 +151,7 @@
         since_ms = peer.unanswered_since_ms
         if since_ms is not None and now_ms - since_ms > self._peer_timeout_ms:
             return False
-        if not self._hears_each_beat(instance_id):
+        if not self._receives_every_heartbeat(instance_id):
             return True
         return now_ms - peer.heard_ms <= self._peer_timeout_ms
 
@@ -159,10 +160,11 @@
         return [peer for peer in self.peers.values() if peer.data_centre == self._data_centre]
 
     def is_watcher(self) -> bool:
-        """Return whether this instance keeps a watch on the platform.
+        """Return whether this instance watches the platform.
 
-        It follows from the published list. An instance that is not on the list yet watches
-        too: it has no other way to learn of its peers.
+        This depends on the published list alone. An instance that knows no live listed peers in
+        its data centre, as before it is listed itself, watches, too: it has no other way to
+        learn of its peers.
         """
         local = [
             peer.entry.instance_id for peer in self.local_peers() if peer.entry.state == "live"
@@ -174,7 +176,7 @@
 
     def _update_remote(self, names: list[str]) -> None:
         self._remote_count = len(names)
-        if len(names) <= REMOTE_BEATS:
+        if len(names) <= REMOTE_PEERS_PER_HEARTBEAT:
             self._remote.update(names)
             return
         by_data_centre: dict[str, list[str]] = {}
@@ -183,15 +185,17 @@
         self._remote.update(
             contact
             for group in by_data_centre.values()
-            for contact in rank_by_rendezvous(self._instance_id, group)[:REMOTE_CONTACTS]
+            for contact in rank_by_rendezvous(self._instance_id, group)[
+                :REMOTE_PEERS_PER_DATA_CENTRE
+            ]
         )
 
-    def _hears_each_beat(self, instance_id: str) -> bool:
+    def _receives_every_heartbeat(self, instance_id: str) -> bool:
         if self._is_local(instance_id):
             return self._local.reaches_all
-        return self._remote_count <= REMOTE_BEATS
+        return self._remote_count <= REMOTE_PEERS_PER_HEARTBEAT
 
-    def _take_heartbeat(self, peer: Peer, heartbeat: Heartbeat) -> None:
+    def _apply_heartbeat(self, peer: Peer, heartbeat: Heartbeat) -> None:
         peer.incarnation = heartbeat.incarnation
         peer.revision = heartbeat.revision
         peer.ready = heartbeat.ready
--- a/packages/geraniumlead/src/geraniumlead/membership/peer.py
+++ b/packages/geraniumlead/src/geraniumlead/membership/peer.py
@@ -1,5 +1,3 @@
-"""Define what is known of a peer."""
-
 from dataclasses import dataclass
 
 from geraniumlead.documents.instance_entry import InstanceEntry
@@ -7,10 +5,10 @@
 
 @dataclass(slots=True)
 class Peer:
-    """Remember a listed instance of any data centre and what it last said.
+    """A listed instance of any data centre, and the last state that it reported.
 
-    ``unanswered_since_ms`` is when work or a probe was sent to it that nothing was heard
-    after. ``left_incarnation`` is the one that said goodbye.
+    ``unanswered_since_ms`` is when the first work or probe was sent to it after its last message.
+    ``left_incarnation`` is the incarnation that said goodbye.
     """
 
     entry: InstanceEntry
@@ -25,5 +23,5 @@
     @property
     def leaving(self) -> bool:
         """Return whether the peer said goodbye, or is listed as leaving."""
-        said = self.left_incarnation is not None
-        return self.entry.state == "leaving" or said
+        said_goodbye = self.left_incarnation is not None
+        return self.entry.state == "leaving" or said_goodbye
--- a/packages/geraniumlead/src/geraniumlead/peering/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/__init__.py
@@ -1,4 +1,4 @@
-"""Find the other instances where nobody lists them, and talk to them."""
+"""Discovery of, and messages to, the other instances where no service lists them."""
 
 from geraniumlead.peering.directory import PeerDirectory
 from geraniumlead.peering.known_peer import KnownPeer
@@ -6,42 +6,42 @@
     CrashNotice,
     DelegatedReply,
     DelegatedRequest,
+    DelegationAcknowledged,
     DelegationCancelled,
-    DelegationShared,
-    DelegationTaken,
-    Farewell,
+    DelegationHedged,
+    Goodbye,
     Hello,
     PeerContact,
     PeeringMessage,
-    RelayedItem,
-    StateWanted,
-    StoreNews,
+    StateRequest,
+    StoreItem,
+    StoreUpdates,
     decode_peering,
     encode_peering,
 )
-from geraniumlead.peering.reading_pace import PATIENCE_SPREAD, ReadingPace
-from geraniumlead.peering.store_contact import StoreContact
+from geraniumlead.peering.store_read_state import StoreReadState
+from geraniumlead.peering.store_read_timing import UPDATE_TIMEOUT_JITTER, StoreReadTiming
 from geraniumlead.peering.store_watch import StoreWatch
 
 __all__ = [
-    "PATIENCE_SPREAD",
+    "UPDATE_TIMEOUT_JITTER",
     "CrashNotice",
     "DelegatedReply",
     "DelegatedRequest",
+    "DelegationAcknowledged",
     "DelegationCancelled",
-    "DelegationShared",
-    "DelegationTaken",
-    "Farewell",
+    "DelegationHedged",
+    "Goodbye",
     "Hello",
     "KnownPeer",
     "PeerContact",
     "PeerDirectory",
     "PeeringMessage",
-    "ReadingPace",
-    "RelayedItem",
-    "StateWanted",
-    "StoreContact",
-    "StoreNews",
+    "StateRequest",
+    "StoreItem",
+    "StoreReadState",
+    "StoreReadTiming",
+    "StoreUpdates",
     "StoreWatch",
     "decode_peering",
     "encode_peering",
--- a/packages/geraniumlead/src/geraniumlead/peering/directory.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/directory.py
@@ -1,54 +1,54 @@
-"""Know the live instances from what they tell each other."""
-
 from collections.abc import Collection, Mapping
 from heapq import nlargest
 from random import Random
 
-from geraniumlead.peering.beat_rings import BEAT_PEERS, BeatRings
-from geraniumlead.peering.hello_names import HelloNames
+from geraniumlead.peering.contact_selector import ContactSelector
+from geraniumlead.peering.heartbeat_rings import PEERS_PER_HEARTBEAT, HeartbeatRings
 from geraniumlead.peering.highest_count import HighestCount
 from geraniumlead.peering.known_peer import KnownPeer
-from geraniumlead.peering.messages import Farewell, Hello, PeerContact
-from geraniumlead.peering.peer_letter import SEED_PREFIX, PeerLetter
+from geraniumlead.peering.messages import Goodbye, Hello, PeerContact
+from geraniumlead.peering.outgoing_peer_message import SEED_PREFIX, OutgoingPeerMessage
 
-BEAT_MS = 1_000.0
-"""Time between two beats; each is a hello of some 150 bytes to a few peers."""
+HEARTBEAT_INTERVAL_MS = 1_000.0
+"""Time between two heartbeats; each is a hello of some 150 bytes to a few peers."""
 
-FIRST_BEAT_MS = 300.0
-"""Time between two hellos to a seed while no peer is known: all instances may have just
+SEED_HELLO_INTERVAL_MS = 300.0
+"""Time between two hellos to a seed while no live peer is known. All instances may have just
 started together, and a message to one that does not listen yet is lost."""
 
-FORGET_MS = 30_000.0
-"""Silence after which a peer is written to no more; one that returns writes first."""
+FORGET_AFTER_MS = 30_000.0
+"""Time without a message after which a peer gets no more hellos; one that returns sends first."""
 
-START_COUNT = 8
-"""Count assumed until peers have had time to be heard; today's users have 6 or 7 instances."""
+ASSUMED_START_INSTANCES = 8
+"""Smallest number of instances assumed until hellos of the peers have had time to arrive;
+typical fleets have 6 or 7 instances."""
 
-START_MS = 4_000.0
-"""Time after a start in which START_COUNT holds; the seeds may be stale for 3 s."""
+STARTUP_MS = 4_000.0
+"""Time after a start in which ASSUMED_START_INSTANCES applies; the seeds may be stale for 3 s."""
 
-MOST_TOLD = 40
-"""Peers that are told of a stop."""
+MAX_GOODBYES = 40
+"""Largest number of peers that get a goodbye."""
 
 
 class PeerDirectory:
-    """Find peers from seeds and from each other, and say which of them live.
+    """The instances that this one has discovered from seeds and peers, and which of them are live.
 
-    Every instance says hello to the seeds and to some of those whom it knows, once a second.
-    Seeds name others to one that has just started, and joiners are passed on as rumours.
-    Nothing is shared or voted on: a wrong view only makes this instance ask for less than it
-    may, since whoever is known and not proven dead counts.
+    Every instance sends a hello to the seeds and to some of its known peers once a second.
+    Seeds send the contacts of other instances to one that has just started, and new instances
+    are announced by gossip. There is no shared state and no consensus: a wrong view only makes
+    this instance use less than its share of the limits, since every known peer counts until it
+    has timed out.
 
-    Load pattern: tens to thousands of instances, some of which start, end or are cut off at any
-    time, and a platform that lists none of them.
+    Load pattern: tens to thousands of instances, some of which start, stop or are isolated from
+    others at any time, and a platform that lists none of them.
     """
 
     __slots__ = (
-        "_beat_ms",
         "_contact",
+        "_contact_selector",
         "_highest_count",
         "_incarnation",
-        "_names",
+        "_next_heartbeat_ms",
         "_random",
         "_rings",
         "_seeds",
@@ -68,17 +68,17 @@
         self._contact = contact
         self._seeds = tuple(address for address in seeds if address != contact.address)
         self._incarnation = incarnation
-        self._beat_ms = now_ms
+        self._next_heartbeat_ms = now_ms
         self._started_ms = now_ms
         self._highest_count = HighestCount()
-        self._rings = BeatRings(contact, regions or {})
-        self._names = HelloNames(random)
+        self._rings = HeartbeatRings(contact, regions or {})
+        self._contact_selector = ContactSelector(random)
         self._random = random
         self.peers: dict[str, KnownPeer] = {}
 
     @property
     def own_contact(self) -> PeerContact:
-        """Return how others reach this instance."""
+        """Return the contact under which others reach this instance."""
         return self._contact
 
     @property
@@ -87,212 +87,232 @@
         return self._contact.instance_id
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take over changed seeds."""
+        """Replace the addresses of the seeds."""
         self._seeds = tuple(address for address in seeds if address != self._contact.address)
 
     def is_live(self, peer: KnownPeer, now_ms: float) -> bool:
-        """Return whether a peer was lately heard, here or by another, and did not say farewell."""
-        return not peer.has_left and self._may_live(peer, now_ms)
+        """Return whether a peer was heard lately, here or by another, and sent no goodbye."""
+        return not peer.has_left and self._may_be_alive(peer, now_ms)
 
-    def is_reached(self, peer: KnownPeer, now_ms: float) -> bool:
-        """Return whether a live peer lately had a message of this instance.
+    def is_reachable(self, peer: KnownPeer, now_ms: float) -> bool:
+        """Return whether a live peer has lately received a message from this instance.
 
-        Failure: messages pass in one direction only. The peer is heard each second, but what
-        is passed to it is lost, and every request would wait for its word in vain.
+        Failure: messages get through in one direction only. The peer is heard each second, but
+        requests delegated to it are lost, and each would wait in vain for an acknowledgement.
         """
         is_echoed = (
-            now_ms - peer.echoed_ms < self._rings.live_ms(peer.contact.instance_id) + BEAT_MS
+            now_ms - peer.echoed_ms
+            < self._rings.peer_timeout_ms(peer.contact.instance_id) + HEARTBEAT_INTERVAL_MS
         )
-        return is_echoed and peer.silent_ms is None and self.is_live(peer, now_ms)
+        return is_echoed and peer.silent_since_ms is None and self.is_live(peer, now_ms)
 
-    def reached(self, now_ms: float) -> list[KnownPeer]:
-        """Return the peers that messages of this instance lately reached."""
-        return [peer for peer in self.peers.values() if self.is_reached(peer, now_ms)]
+    def reachable(self, now_ms: float) -> list[KnownPeer]:
+        """Return the peers that have lately received a message from this instance."""
+        return [peer for peer in self.peers.values() if self.is_reachable(peer, now_ms)]
 
-    def may_be_asked(self, peer: KnownPeer, now_ms: float) -> bool:
-        """Return whether a peer is reached, or nothing speaks against it that was never met.
+    def may_be_reachable(self, peer: KnownPeer, now_ms: float) -> bool:
+        """Return whether a peer is reachable, or live and with no failure and no echo so far.
 
-        Load pattern: a fleet of hundreds has just started, and a beat reaches six. With only
-        those asked whom it has met, each instance would pass the same work to others.
+        Load pattern: a fleet of hundreds has just started, and a heartbeat goes to six peers.
+        Using only peers that it has exchanged hellos with, each instance would delegate the
+        same work to different peers.
         """
         if peer.echoed_ms > float("-inf"):
-            return self.is_reached(peer, now_ms)
-        return peer.silent_ms is None and self.is_live(peer, now_ms)
+            return self.is_reachable(peer, now_ms)
+        return peer.silent_since_ms is None and self.is_live(peer, now_ms)
 
-    def note_response(self, instance_id: str) -> None:
-        """Note that a peer answered a request of this instance.
+    def record_response(self, instance_id: str) -> None:
+        """Record that a peer responded to a request of this instance.
 
-        Failure: a slow peer's word came after its query had ended. In a fleet of hundreds its
-        next hello is half a minute away, and until then its blocks went to others, who had to
-        open connections for them.
+        Failure: the acknowledgement of a slow peer arrived after its query had ended. In a fleet
+        of hundreds its next hello is half a minute away, and until then its shard groups went to
+        other peers, which had to open connections for them.
         """
         peer = self.peers.get(instance_id)
         if peer is not None:
-            peer.silent_ms = None
+            peer.silent_since_ms = None
 
-    def introduce(self, contact: PeerContact, now_ms: float) -> None:
-        """Take in a peer that asks for something before its first hello."""
-        self._learn(contact, now_ms)
+    def add_contact(self, contact: PeerContact, now_ms: float) -> None:
+        """Add a peer that sends a request before its first hello."""
+        self._add_or_refresh(contact, now_ms)
 
     def live(self, now_ms: float) -> list[KnownPeer]:
         """Return the live peers."""
         return [peer for peer in self.peers.values() if self.is_live(peer, now_ms)]
 
-    def count(self, now_ms: float) -> int:
-        """Return how many instances may be sharing the limits of the fleet."""
-        heard = 1 + sum(1 for peer in self.peers.values() if self._may_live(peer, now_ms))
-        most = self._highest_count.note(heard, now_ms)
+    def instance_count(self, now_ms: float) -> int:
+        """Return how many instances may be sharing the limits of the fleet, this one included."""
+        heard = 1 + sum(1 for peer in self.peers.values() if self._may_be_alive(peer, now_ms))
+        highest = self._highest_count.record(heard, now_ms)
         if not self._is_starting(now_ms):
-            return most
-        told = max((peer.count for peer in self.peers.values()), default=0)
-        return max(most, told, START_COUNT)
+            return highest
+        reported = max((peer.count for peer in self.peers.values()), default=0)
+        return max(highest, reported, ASSUMED_START_INSTANCES)
 
     def next_wake_ms(self) -> float:
-        """Return when ``take_letters`` has something to do."""
-        return self._beat_ms
-
-    def take_letters(self, version: int, is_ready: bool, now_ms: float) -> list[PeerLetter]:
-        """Return the hellos that are due."""
-        if now_ms < self._beat_ms:
+        """Return when ``pop_due_hellos`` has to be called next."""
+        return self._next_heartbeat_ms
+
+    def pop_due_hellos(
+        self, version: int, is_ready: bool, now_ms: float
+    ) -> list[OutgoingPeerMessage]:
+        """Return the hellos that are due, and schedule the next heartbeat."""
+        if now_ms < self._next_heartbeat_ms:
             return []
         has_peers = any(self.is_live(peer, now_ms) for peer in self.peers.values())
-        self._beat_ms = now_ms + (BEAT_MS if has_peers else FIRST_BEAT_MS)
-        letters = []
-        self._forget_silent(now_ms)
+        self._next_heartbeat_ms = now_ms + (
+            HEARTBEAT_INTERVAL_MS if has_peers else SEED_HELLO_INTERVAL_MS
+        )
+        hellos = []
+        self._forget_silent_peers(now_ms)
         self._rings.update(self.peers.values())
-        for instance_id in self._rings.take(self._random):
-            letters.append(self.greet(self.peers[instance_id], version, is_ready, now_ms))
-        reached = {peer.contact.address for peer in self.peers.values()}
-        for address in self._seeds_to_ask(reached, now_ms):
-            hello = self._hello(None, version, is_ready, now_ms)
-            letters.append(PeerLetter(f"{SEED_PREFIX}{address}", address, hello))
-        return letters
-
-    def greet(self, peer: KnownPeer, version: int, is_ready: bool, now_ms: float) -> PeerLetter:
-        """Return a hello to one peer."""
-        hello = self._hello(peer, version, is_ready, now_ms)
-        peer.told_ms = now_ms
+        for instance_id in self._rings.next_targets(self._random):
+            hellos.append(self.create_hello(self.peers[instance_id], version, is_ready, now_ms))
+        known_addresses = {peer.contact.address for peer in self.peers.values()}
+        for address in self._seeds_to_contact(known_addresses, now_ms):
+            hello = self._create_hello_message(None, version, is_ready, now_ms)
+            hellos.append(OutgoingPeerMessage(f"{SEED_PREFIX}{address}", address, hello))
+        return hellos
+
+    def create_hello(
+        self, peer: KnownPeer, version: int, is_ready: bool, now_ms: float
+    ) -> OutgoingPeerMessage:
+        """Return a hello to one peer, and record that it was sent."""
+        hello = self._create_hello_message(peer, version, is_ready, now_ms)
+        peer.hello_sent_ms = now_ms
         peer.asks_names = False
-        return PeerLetter(peer.contact.instance_id, peer.contact.address, hello)
+        return OutgoingPeerMessage(peer.contact.instance_id, peer.contact.address, hello)
 
-    def hear(self, hello: Hello, now_ms: float) -> list[KnownPeer]:
-        """Take in a hello; return the peers that are to be greeted at once."""
+    def handle_hello(self, hello: Hello, now_ms: float) -> list[KnownPeer]:
+        """Update the directory from a hello; return the peers that need a hello at once."""
         instance_id = hello.contact.instance_id
         if instance_id == self._contact.instance_id:
             return []
-        greeted = []
+        peers_to_greet = []
         peer = self.peers.get(instance_id)
         if peer is None or peer.heard_ms == float("-inf") or hello.asks_names:
-            peer = self._learn(hello.contact, now_ms)
+            peer = self._add_or_refresh(hello.contact, now_ms)
             peer.asks_names = hello.asks_names
-            greeted.append(peer)
+            peers_to_greet.append(peer)
         peer.contact = hello.contact
         peer.heard_ms = now_ms
         if peer.incarnation != hello.incarnation:
             is_restart = peer.incarnation != 0
             peer.incarnation = hello.incarnation
-            peer.began_ms = now_ms if is_restart else now_ms - hello.running_ms
-            peer.clock_gap_ms = float("inf")
-        peer.note_clock(hello.sent_ms, now_ms)
+            peer.started_ms = now_ms if is_restart else now_ms - hello.running_ms
+            peer.clock_offset_ms = float("inf")
+        peer.record_clock(hello.sent_ms, now_ms)
         peer.version = hello.version
         peer.is_ready = hello.is_ready
-        peer.clock_ms = hello.sent_ms
+        peer.latest_clock_ms = hello.sent_ms
         peer.count = hello.count
         if hello.echo_ms is not None:
-            peer.note_way((now_ms - hello.echo_ms - hello.held_ms) / 2.0)
+            peer.record_delay((now_ms - hello.echo_ms - hello.held_ms) / 2.0)
             peer.echoed_ms = hello.echo_ms
-            if peer.silent_ms is not None and hello.echo_ms > peer.silent_ms:
-                peer.silent_ms = None
+            if peer.silent_since_ms is not None and hello.echo_ms > peer.silent_since_ms:
+                peer.silent_since_ms = None
         for contact in hello.known:
             if contact.instance_id == self._contact.instance_id:
                 continue
             is_new = contact.instance_id not in self.peers
-            found = self._learn(contact, now_ms)
-            if is_new and not self._is_large:
-                greeted.append(found)
-        return greeted
+            found = self._add_or_refresh(contact, now_ms)
+            if is_new and not self._is_large_fleet:
+                peers_to_greet.append(found)
+        return peers_to_greet
 
-    def take_farewell(self, sender_id: str, farewell: Farewell) -> None:
-        """Note that a peer takes no new work."""
+    def handle_goodbye(self, sender_id: str, goodbye: Goodbye) -> None:
+        """Record that a peer takes no new work."""
         peer = self.peers.get(sender_id)
         if peer is not None:
-            peer.left_incarnation = farewell.incarnation
+            peer.left_incarnation = goodbye.incarnation
             peer.is_ready = False
 
-    def farewells(self, now_ms: float) -> list[PeerLetter]:
-        """Return a farewell to the live peers, in a large fleet to those heard last.
+    def create_goodbyes(self, now_ms: float) -> list[OutgoingPeerMessage]:
+        """Return a goodbye to the live peers, in a large fleet to those that echoed a hello last.
 
-        The others learn it when they ask for something and are declined.
+        The others notice when they send a request and it is declined.
         """
-        message = Farewell(self._incarnation)
-        told = nlargest(MOST_TOLD, self.live(now_ms), key=lambda peer: peer.echoed_ms)
+        message = Goodbye(self._incarnation)
+        receivers = nlargest(MAX_GOODBYES, self.live(now_ms), key=lambda peer: peer.echoed_ms)
         return [
-            PeerLetter(peer.contact.instance_id, peer.contact.address, message) for peer in told
+            OutgoingPeerMessage(peer.contact.instance_id, peer.contact.address, message)
+            for peer in receivers
         ]
 
     @property
-    def _is_large(self) -> bool:
-        """Return whether a beat does not go to all peers."""
-        return len(self.peers) > BEAT_PEERS
+    def _is_large_fleet(self) -> bool:
+        """Return whether there are more peers than one heartbeat goes to."""
+        return len(self.peers) > PEERS_PER_HEARTBEAT
 
-    def _seeds_to_ask(self, reached: Collection[str], now_ms: float) -> list[str]:
-        """Return the seeds that are not known yet, and in a large fleet one to ask for names.
+    def _seeds_to_contact(self, known_addresses: Collection[str], now_ms: float) -> list[str]:
+        """Return the seeds that are not known yet.
 
-        Load pattern: a whole fleet starts at once, and all of it asks the same three seeds.
+        When all are known, a starting instance of a large fleet asks one of them for contacts.
+
+        Load pattern: a whole fleet starts at once, and all instances ask the same three seeds.
         """
-        unknown = [address for address in self._seeds if address not in reached]
-        if not unknown and self._seeds and self._is_large and self._is_starting(now_ms):
+        unknown = [address for address in self._seeds if address not in known_addresses]
+        if not unknown and self._seeds and self._is_large_fleet and self._is_starting(now_ms):
             return [self._random.choice(self._seeds)]
         return unknown
 
     def _is_starting(self, now_ms: float) -> bool:
-        return now_ms - self._started_ms < START_MS
+        return now_ms - self._started_ms < STARTUP_MS
+
+    def _was_heard_directly(self, peer: KnownPeer, now_ms: float) -> bool:
+        """Return whether a peer sent a hello to this instance lately, and no goodbye.
 
-    def _is_heard(self, peer: KnownPeer, now_ms: float) -> bool:
-        """Return whether a peer was lately heard here; others are named as rumours only.
+        Other peers are named by gossip only, which ends after a number of hellos.
 
         Failure: two instances that name a dead one to each other would keep it alive for ever.
-        Rumours end after a number of hellos.
         """
-        return not peer.has_left and now_ms - peer.heard_ms < self._rings.live_ms(
+        return not peer.has_left and now_ms - peer.heard_ms < self._rings.peer_timeout_ms(
             peer.contact.instance_id
         )
 
-    def _may_live(self, peer: KnownPeer, now_ms: float) -> bool:
-        """Return whether a peer was heard, or named by one who heard it."""
-        return now_ms - max(peer.heard_ms, peer.mentioned_ms) < self._rings.live_ms(
+    def _may_be_alive(self, peer: KnownPeer, now_ms: float) -> bool:
+        """Return whether a peer was heard lately, or named by another."""
+        return now_ms - max(peer.heard_ms, peer.mentioned_ms) < self._rings.peer_timeout_ms(
             peer.contact.instance_id
         )
 
-    def _forget_silent(self, now_ms: float) -> None:
+    def _forget_silent_peers(self, now_ms: float) -> None:
         for instance_id, peer in list(self.peers.items()):
-            forget_ms = max(FORGET_MS, 2.0 * self._rings.live_ms(peer.contact.instance_id))
+            forget_ms = max(
+                FORGET_AFTER_MS, 2.0 * self._rings.peer_timeout_ms(peer.contact.instance_id)
+            )
             if now_ms - max(peer.heard_ms, peer.mentioned_ms) > forget_ms:
                 del self.peers[instance_id]
-                self._names.forget(instance_id)
+                self._contact_selector.forget(instance_id)
 
-    def _learn(self, contact: PeerContact, now_ms: float) -> KnownPeer:
+    def _add_or_refresh(self, contact: PeerContact, now_ms: float) -> KnownPeer:
         peer = self.peers.get(contact.instance_id)
         if peer is None:
             peer = self.peers[contact.instance_id] = KnownPeer(contact)
-            self._names.add(contact.instance_id, len(self.peers))
+            self._contact_selector.add(contact.instance_id, len(self.peers))
         peer.mentioned_ms = now_ms
         return peer
 
-    def _names_for(self, peer: KnownPeer | None, now_ms: float) -> tuple[PeerContact, ...]:
-        """Return the peers that a hello names."""
-        is_first = peer is not None and peer.told_ms == float("-inf")
-        if (is_first and not self._is_large) or (peer is not None and peer.asks_names):
-            heard = [found for found in self.peers.values() if self._is_heard(found, now_ms)]
-            return self._names.sample(heard)
-        if not self._is_large:
+    def _contacts_for(self, peer: KnownPeer | None, now_ms: float) -> tuple[PeerContact, ...]:
+        """Return the contacts that a hello carries."""
+        is_first = peer is not None and peer.hello_sent_ms == float("-inf")
+        if (is_first and not self._is_large_fleet) or (peer is not None and peer.asks_names):
+            heard = [
+                found for found in self.peers.values() if self._was_heard_directly(found, now_ms)
+            ]
+            return self._contact_selector.sample(heard)
+        if not self._is_large_fleet:
             return ()
-        chance = self._random.choice(list(self.peers.values()))
-        return self._names.take(self.peers, chance if self._is_heard(chance, now_ms) else None)
+        random_peer = self._random.choice(list(self.peers.values()))
+        return self._contact_selector.next_contacts(
+            self.peers, random_peer if self._was_heard_directly(random_peer, now_ms) else None
+        )
 
-    def _hello(self, peer: KnownPeer | None, version: int, is_ready: bool, now_ms: float) -> Hello:
-        known = self._names_for(peer, now_ms)
-        clock_ms = None if peer is None else peer.clock_ms
+    def _create_hello_message(
+        self, peer: KnownPeer | None, version: int, is_ready: bool, now_ms: float
+    ) -> Hello:
+        known = self._contacts_for(peer, now_ms)
+        clock_ms = None if peer is None else peer.latest_clock_ms
         held_ms = 0.0 if clock_ms is None else now_ms - peer.heard_ms
         return Hello(
             self._contact,
--- a/packages/geraniumlead/src/geraniumlead/peering/highest_count.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/highest_count.py
@@ -1,15 +1,16 @@
-"""Keep the highest count of instances of the last seconds."""
-
-HOLD_COUNT_MS = 20_000.0
+COUNT_WINDOW_MS = 20_000.0
 """Time for which the highest count of instances is kept: two windows of the fleet's limits.
 
-Failure: instances are cut off from each other. Each side sees fewer, and with limits divided
-by what it sees both sides together would exceed them.
+Failure: a network partition. Each side sees fewer instances, and if it divided the limits by
+the number that it sees, both sides together would exceed them.
 """
 
 
 class HighestCount:
-    """Remember counts as long as they may be the highest of the last HOLD_COUNT_MS."""
+    """The highest count of instances over a sliding window of COUNT_WINDOW_MS.
+
+    A count is kept as long as it may become the highest of the window.
+    """
 
     __slots__ = ("_counts",)
 
@@ -18,13 +19,13 @@
 
     @property
     def latest(self) -> int:
-        """Return the count that was noted last; 1 before any."""
+        """Return the count that was recorded last; 1 before any."""
         return self._counts[-1][1] if self._counts else 1
 
-    def note(self, count: int, now_ms: float) -> int:
-        """Add a count; return the highest one."""
+    def record(self, count: int, now_ms: float) -> int:
+        """Record a count; return the highest one of the window."""
         while self._counts and (
-            self._counts[0][0] < now_ms - HOLD_COUNT_MS or self._counts[0][1] <= count
+            self._counts[0][0] < now_ms - COUNT_WINDOW_MS or self._counts[0][1] <= count
         ):
             self._counts.pop(0)
         while self._counts and self._counts[-1][1] <= count:
--- a/packages/geraniumlead/src/geraniumlead/peering/messages.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/messages.py
@@ -1,4 +1,4 @@
-"""Define the messages between instances on the users' platform.
+"""Messages between instances that discover each other, and their codec.
 
 All are msgpack arrays, so a field may only be added at the end, with a default.
 """
@@ -9,18 +9,18 @@
 from msgspec import DecodeError, Struct, ValidationError
 from msgspec.msgpack import Decoder, Encoder
 
-LEAST_COMPRESSED_BYTES = 200
-"""Size from which on a message is compressed; names and signatures are half of a larger one."""
+MIN_COMPRESSED_BYTES = 200
+"""Smallest size that is compressed; names and signatures make up half of a larger message."""
 
-MOST_BYTES = 4_000_000
-"""Largest message: a body of the most that callers may send, and what comes with it."""
+MAX_MESSAGE_BYTES = 4_000_000
+"""Largest message after decompression: the largest request body of a caller, and its metadata."""
 
-ZLIB_START = b"\x78"
-"""First byte of zlib's format; no message in msgpack begins with it."""
+ZLIB_FIRST_BYTE = b"\x78"
+"""First byte of the zlib format; no message in msgpack begins with it."""
 
 
 class PeerContact(Struct, frozen=True, array_like=True):
-    """Name an instance and how it is reached."""
+    """The name, address and data centre of an instance."""
 
     instance_id: str
     address: str
@@ -28,13 +28,13 @@
 
 
 class Hello(Struct, frozen=True, array_like=True, tag="hello"):
-    """Say that the sender lives, and whom it knows.
+    """A heartbeat, which also carries contacts of other instances.
 
-    ``sent_ms`` is the sender's clock; ``echo_ms`` repeats the receiver's last one and
-    ``held_ms`` tells how long that was kept, so that the receiver learns the time of the way.
-    ``known`` names some peers; one that has just started asks for them by ``asks_names``.
-    ``count`` is how many instances the sender counts, itself included; ``running_ms`` is how long
-    ago it started.
+    ``sent_ms`` is the sender's clock. ``echo_ms`` repeats the receiver's last ``sent_ms``, and
+    ``held_ms`` is how long ago that arrived, so that the receiver can compute the one-way delay.
+    ``known`` holds contacts of some peers; a sender that has just started asks for them by
+    ``asks_names``. ``count`` is how many instances the sender counts, itself included.
+    ``running_ms`` is how long ago it started.
     """
 
     contact: PeerContact
@@ -50,18 +50,19 @@
     running_ms: float = 0.0
 
 
-class Farewell(Struct, frozen=True, array_like=True, tag="farewell"):
-    """Say that the sender is stopping and takes no new work."""
+class Goodbye(Struct, frozen=True, array_like=True, tag="farewell"):
+    """A notice that the sender is stopping and takes no new work."""
 
     incarnation: int
 
 
 class DelegatedRequest(Struct, frozen=True, array_like=True, tag="delegated"):
-    """Ask a peer that is nearer to their upstreams to ask some shards.
+    """A request to query some shards, sent to a peer that is nearer to their upstreams.
 
-    ``version`` is the configuration that the sender acts on; the peer declines with an older
-    one. Its reply has to leave ``goal_left_ms`` after the message came, with what is in.
-    ``sender`` tells a peer that does not know it, for it has just started, where the reply goes.
+    ``version`` is the configuration that the sender uses; a peer with an older one declines.
+    The peer has to send its reply ``goal_left_ms`` after the message came, with the answers that
+    it has by then. ``sender`` is where the reply goes, for a peer that has just started and does
+    not know the sender.
     """
 
     number: int
@@ -80,18 +81,19 @@
     sender: PeerContact | None = None
 
 
-class DelegationTaken(Struct, frozen=True, array_like=True, tag="taken"):
-    """Say that a delegated request arrived and is being served."""
+class DelegationAcknowledged(Struct, frozen=True, array_like=True, tag="taken"):
+    """An acknowledgement that a delegated request arrived and is being served."""
 
     number: int
 
 
 class DelegatedReply(Struct, frozen=True, array_like=True, tag="delegated_reply"):
-    """Carry the shards answered since the last reply, with their signatures, and their records.
+    """The signatures and records of the shards that answered since the last reply.
 
-    A shard is named by its place in the request. When ``is_declined``, nothing was sent. Unless
-    ``is_final``, the peer still waits for the others. The final reply names in ``tried`` the
-    upstreams that each unanswered shard was sent to, one entry for each sending.
+    A shard is identified by its index in the request. With ``is_declined``, nothing was sent to
+    any upstream. Unless ``is_final``, the peer still waits for the other shards. The final reply
+    lists in ``tried`` the upstreams that each unanswered shard was sent to, one entry for each
+    attempt.
     """
 
     number: int
@@ -103,53 +105,56 @@
 
 
 class DelegationCancelled(Struct, frozen=True, array_like=True, tag="cancelled"):
-    """Say that nobody waits for a delegated request any more."""
+    """A notice that the sender no longer needs the reply to a delegated request."""
 
     number: int
 
 
-class DelegationShared(Struct, frozen=True, array_like=True, tag="shared"):
-    """Say that the sender now asks the shards itself as well, so the peer sends none again."""
+class DelegationHedged(Struct, frozen=True, array_like=True, tag="shared"):
+    """A notice that the sender now queries the shards itself, too.
+
+    The peer makes no second attempts for them.
+    """
 
     number: int
 
 
 class CrashNotice(Struct, frozen=True, array_like=True, tag="crashes"):
-    """Say that upstreams were lost while they ran a request that none has answered."""
+    """A notice that upstreams were lost while they ran a request that none has answered."""
 
     fingerprint: int
     upstream_ids: tuple[str, ...]
 
 
-class RelayedItem(Struct, frozen=True, array_like=True):
-    """Be one changed key of the platform's store as it was read; no value means deleted."""
+class StoreItem(Struct, frozen=True, array_like=True):
+    """One changed key of the platform's store as it was read; no value means deleted."""
 
     key: str
     revision: int
     value: bytes | None = None
 
 
-class StateWanted(Struct, frozen=True, array_like=True, tag="state_wanted"):
-    """Ask a peer for all that stands in the platform's store, which turns the sender away.
+class StateRequest(Struct, frozen=True, array_like=True, tag="state_wanted"):
+    """A request for the whole state of the platform's store, which rejects the sender's calls.
 
-    ``beyond_revision`` is what the sender knows; None when it knows nothing.
+    ``beyond_revision`` is the revision that the sender has; None when it has none.
     """
 
     beyond_revision: int | None = None
 
 
-class StoreNews(Struct, frozen=True, array_like=True, tag="store_news"):
-    """Tell what changed in the platform's store between two of its revisions.
+class StoreUpdates(Struct, frozen=True, array_like=True, tag="store_news"):
+    """The changes in the platform's store between two of its revisions.
 
-    Heartbeats that change nothing are left out. With ``is_cut`` something is left out that the
-    receiver has to read for itself; ``is_after_outage`` says that the store has just come back.
-    ``age_ms`` is how long before ``sent_ms``, on the sender's clock, the store was asked.
-    With ``is_state`` the items are all that stands there.
+    Heartbeats that change nothing are left out. With ``is_cut`` the items are incomplete, and the
+    receiver has to read the rest itself. ``is_after_outage`` is set when the store has just come
+    back. ``age_ms`` is how long before ``sent_ms``, on the sender's clock, the store was read.
+    With ``is_state`` the items are the whole state of the store.
     """
 
     from_revision: int
     to_revision: int
-    items: tuple[RelayedItem, ...] = ()
+    items: tuple[StoreItem, ...] = ()
     is_cut: bool = False
     is_after_outage: bool = False
     age_ms: float = 0.0
@@ -159,15 +164,15 @@
 
 PeeringMessage = (
     Hello
-    | Farewell
+    | Goodbye
     | DelegatedRequest
-    | DelegationTaken
+    | DelegationAcknowledged
     | DelegatedReply
     | DelegationCancelled
-    | DelegationShared
+    | DelegationHedged
     | CrashNotice
-    | StateWanted
-    | StoreNews
+    | StateRequest
+    | StoreUpdates
 )
 
 _ENCODER = Encoder()
@@ -175,9 +180,9 @@
 
 
 def encode_peering(message: PeeringMessage) -> bytes:
-    """Return the msgpack bytes of a message, compressed where that is worth it."""
+    """Return the msgpack bytes of a message, compressed where that makes them smaller."""
     data = _ENCODER.encode(message)
-    if len(data) < LEAST_COMPRESSED_BYTES:
+    if len(data) < MIN_COMPRESSED_BYTES:
         return data
     return min(data, compress(data), key=len)
 
@@ -185,17 +190,20 @@
 def decode_peering(data: bytes | memoryview) -> PeeringMessage | None:
     """Return the message in ``data``, or None when it is malformed or of an unknown kind."""
     try:
-        return _DECODER.decode(_expand(data))
+        return _DECODER.decode(_decompress(data))
     except (DecodeError, ValidationError, ZlibError):
         return None
 
 
-def _expand(data: bytes | memoryview) -> bytes | memoryview:
-    """Return the msgpack bytes; raises zlib.error for what is damaged or too large."""
-    if data[:1] != ZLIB_START:
+def _decompress(data: bytes | memoryview) -> bytes | memoryview:
+    """Return the msgpack bytes.
+
+    Raise ``zlib.error`` if the compressed data is damaged or its content is too large.
+    """
+    if data[:1] != ZLIB_FIRST_BYTE:
         return data
-    expander = decompressobj()
-    found = expander.decompress(data, MOST_BYTES)
-    if not expander.eof:
-        raise ZlibError("cut off, or larger than any message")
-    return found
+    decompressor = decompressobj()
+    content = decompressor.decompress(data, MAX_MESSAGE_BYTES)
+    if not decompressor.eof:
+        raise ZlibError("truncated, or larger than the largest message")
+    return content
--- a/packages/geraniumlead/src/geraniumlead/peers/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/peers/__init__.py
@@ -1,12 +1,12 @@
-"""Define the messages between instances."""
+"""Messages between the instances of a published list, and their codec."""
 
 from geraniumlead.peers.codec import decode_message, encode_message
 from geraniumlead.peers.messages import (
     ANY_NONCE,
     CancelBatch,
     ContractDemand,
+    DocumentsRequest,
     DocumentsUpdate,
-    DocumentsWanted,
     Goodbye,
     Heartbeat,
     PeerMessage,
@@ -25,8 +25,8 @@
     "ANY_NONCE",
     "CancelBatch",
     "ContractDemand",
+    "DocumentsRequest",
     "DocumentsUpdate",
-    "DocumentsWanted",
     "Goodbye",
     "Heartbeat",
     "PeerMessage",
--- a/packages/geraniumlead/src/geraniumlead/peers/codec.py
+++ b/packages/geraniumlead/src/geraniumlead/peers/codec.py
@@ -1,4 +1,4 @@
-"""Encode and decode peer messages with msgpack."""
+"""Encoding and decoding of peer messages with msgpack."""
 
 from msgspec import DecodeError, ValidationError
 from msgspec.msgpack import Decoder, Encoder
--- a/packages/geraniumlead/src/geraniumlead/peers/messages.py
+++ b/packages/geraniumlead/src/geraniumlead/peers/messages.py
@@ -1,4 +1,4 @@
-"""Define the typed messages between instances; one union, told apart by a tag.
+"""Messages between instances: one union whose members differ by their tag.
 
 All are msgpack arrays, so a field may only be added at the end, with a default: an older
 instance ignores it and a newer one fills it in.
@@ -12,7 +12,7 @@
 
 
 class ContractDemand(Struct, frozen=True, array_like=True):
-    """Report what one instance saw of one contract in the last reporting interval.
+    """The demand of one contract at one instance in the last reporting interval.
 
     ``lent_share`` is the part of the contract that the sender lends to the receiver.
     """
@@ -25,10 +25,11 @@
 
 
 class Heartbeat(Struct, frozen=True, array_like=True, tag="heartbeat"):
-    """Say that the sender lives, and which configuration it acts on.
+    """A sign of life, with the configuration that the sender uses.
 
-    ``platform_age_ms`` is the age of the platform's news that ``revision`` stands for, and
-    ``digest`` is over its contents. A ``stopping`` sender takes no new work.
+    ``platform_age_ms`` is how long ago the platform confirmed ``revision`` as current, and
+    ``digest`` is a digest of the documents at that revision. A ``stopping`` sender takes no new
+    work.
     """
 
     incarnation: str
@@ -43,19 +44,19 @@
 
 
 class Goodbye(Struct, frozen=True, array_like=True, tag="goodbye"):
-    """Say that the sender is stopping and takes no new work."""
+    """A notice that the sender is stopping and takes no new work."""
 
     incarnation: str
 
 
-class DocumentsWanted(Struct, frozen=True, array_like=True, tag="documents_wanted"):
-    """Ask for all documents with a revision above ``above_revision``."""
+class DocumentsRequest(Struct, frozen=True, array_like=True, tag="documents_wanted"):
+    """A request for all documents with a revision above ``above_revision``."""
 
     above_revision: int
 
 
 class DocumentsUpdate(Struct, frozen=True, array_like=True, tag="documents_update"):
-    """Carry every change above ``above_revision`` up to ``revision``."""
+    """All changes above ``above_revision`` up to ``revision``."""
 
     revision: int
     documents: tuple[VersionedValue, ...]
@@ -67,9 +68,9 @@
 
 
 class Probe(Struct, frozen=True, array_like=True, tag="probe"):
-    """Ask a peer to answer at once; ``nonce`` ties the answer to this question.
+    """A request to reply at once; ``nonce`` matches the reply to the probe.
 
-    A peer that is behind ``revision`` asks the sender for the documents.
+    A peer whose revision is below ``revision`` asks the sender for the documents.
     """
 
     nonce: int
@@ -77,7 +78,7 @@
 
 
 class ProbeReply(Struct, frozen=True, array_like=True, tag="probe_reply"):
-    """Answer a probe; ``is_fresh`` is unset while the sender's own view is unconfirmed."""
+    """A reply to a probe; ``is_fresh`` is unset while the sender's own view is unconfirmed."""
 
     nonce: int
     revision: int
@@ -85,32 +86,32 @@
 
 
 class SubqueryBatch(Struct, frozen=True, array_like=True, tag="subqueries"):
-    """Carry the subqueries for one owner that one batching tick collected."""
+    """The subqueries for one owner that were collected in one batching tick."""
 
     subqueries: tuple[Subquery, ...]
 
 
 class SubqueryResult(Struct, frozen=True, array_like=True):
-    """Carry the outcome of one subquery back to its coordinator."""
+    """The outcome of one subquery, sent back to its coordinator."""
 
     call_id: str
     answer: UpstreamAnswer
 
 
 class SubqueryResultBatch(Struct, frozen=True, array_like=True, tag="results"):
-    """Carry the outcomes for one coordinator that one batching tick collected."""
+    """The outcomes for one coordinator that were collected in one batching tick."""
 
     results: tuple[SubqueryResult, ...]
 
 
 class CancelBatch(Struct, frozen=True, array_like=True, tag="cancels"):
-    """Ask an owner to cancel calls whose answers are no longer wanted."""
+    """A request to an owner to cancel calls whose answers are no longer needed."""
 
     call_ids: tuple[str, ...]
 
 
 class UpstreamNotice(Struct, frozen=True, array_like=True, tag="upstream_notice"):
-    """Tell other owners of an upstream what was seen of it."""
+    """An observation of an upstream, sent to its other owners."""
 
     upstream_id: str
     state: str
@@ -118,10 +119,10 @@
 
 
 class QuarantineNotice(Struct, frozen=True, array_like=True, tag="quarantine"):
-    """Tell peers of a fingerprint whose connections an upstream lost.
+    """A notice of a fingerprint of requests on which an upstream lost its connections.
 
-    ``remaining_ms`` above 0 says that it is quarantined; else ``upstream_id`` names the
-    upstream of one strike.
+    With ``remaining_ms`` above 0 the fingerprint is quarantined; otherwise ``upstream_id`` names
+    the upstream of one strike.
     """
 
     fingerprint: int
@@ -131,7 +132,7 @@
 
 
 class TicketedRequest(Struct, frozen=True, array_like=True, tag="ticketed_request"):
-    """Forward a non-idempotent request to the instance that issued its ticket."""
+    """A non-idempotent request, forwarded to the instance that issued its ticket."""
 
     call_id: str
     request_id: str
@@ -144,7 +145,7 @@
 
 
 class TicketedAnswer(Struct, frozen=True, array_like=True, tag="ticketed_answer"):
-    """Carry the outcome of a forwarded request, encoded by ``encode_outcome``."""
+    """The outcome of a forwarded request, encoded by ``encode_outcome``."""
 
     call_id: str
     outcome: bytes
@@ -153,7 +154,7 @@
 PeerMessage = (
     Heartbeat
     | Goodbye
-    | DocumentsWanted
+    | DocumentsRequest
     | DocumentsUpdate
     | SubqueryBatch
     | SubqueryResultBatch
--- a/packages/geraniumlead/src/geraniumlead/routes/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Find the route of a request in the configuration that operators published."""
+"""Routes and services of the operators' configuration, and the lookup of a request's route."""
 
 from geraniumlead.routes.configuration import PublishedConfiguration
 from geraniumlead.routes.request_limits import RequestLimits
--- a/packages/geraniumlead/src/geraniumlead/routes/configuration.py
+++ b/packages/geraniumlead/src/geraniumlead/routes/configuration.py
@@ -1,5 +1,3 @@
-"""Define one version of the operators' configuration."""
-
 from dataclasses import dataclass, field
 
 from geraniumlead.routes.request_limits import RequestLimits
@@ -9,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishedConfiguration:
-    """Hold everything that one version says; versions only ever grow."""
+    """One version of the operators' configuration; version numbers only increase."""
 
     version: int
     routes: RouteTable
--- a/packages/geraniumlead/src/geraniumlead/routes/request_limits.py
+++ b/packages/geraniumlead/src/geraniumlead/routes/request_limits.py
@@ -1,14 +1,12 @@
-"""Define how much a caller may send, and in which time."""
-
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """Bound the headers, the body, and the waits of a caller's connection.
+    """Limits on the size of headers and body, and timeouts of a caller's connection.
 
-    The defaults hold until a configuration is in force: common servers' limits, and an idle
-    time above that of common clients.
+    The defaults apply until a configuration is in force. They are the limits of common servers,
+    and an idle timeout longer than that of common clients.
     """
 
     header_bytes: int = 16_384
--- a/packages/geraniumlead/src/geraniumlead/routes/route.py
+++ b/packages/geraniumlead/src/geraniumlead/routes/route.py
@@ -1,5 +1,3 @@
-"""Define one route."""
-
 from dataclasses import dataclass
 
 from geraniumlead.routes.targets import FanOut, OneService, RouteTarget, SplitServices
@@ -7,10 +5,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Say where requests of a host and path prefix go, and within which limits.
+    """The target of requests with a host and path prefix, and their limits.
 
-    ``most_upstreams`` bounds the upstreams that one request (of each shard) is sent to.
-    ``priority`` 0 is the most urgent. Empty ``allowed_regions`` allow all.
+    ``max_upstreams`` limits the upstreams that one request is sent to, in a fan-out those of each
+    shard. ``priority`` 0 is the most urgent. An empty ``allowed_regions`` allows all regions.
     """
 
     name: str
@@ -21,7 +19,7 @@
     timeout_ms: float
     latency_goal_ms: float
     priority: int
-    most_upstreams: int
+    max_upstreams: int
     allowed_regions: frozenset[str]
 
     def services(self) -> tuple[str, ...]:
--- a/packages/geraniumlead/src/geraniumlead/routes/route_table.py
+++ b/packages/geraniumlead/src/geraniumlead/routes/route_table.py
@@ -1,12 +1,10 @@
-"""Look up routes by host and longest path prefix."""
-
 from collections.abc import Iterable
 
 from geraniumlead.routes.route import Route
 
 
 class RouteTable:
-    """Hold the routes of one configuration.
+    """The routes of one configuration, looked up by host and longest path prefix.
 
     A lookup costs one hash for each slash of the path, however many routes there are.
     """
@@ -19,7 +17,10 @@
             self._by_host.setdefault(route.host, {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route whose prefix is the longest that begins the path."""
+        """Return the route with the longest prefix of the path; None when there is none.
+
+        A host with a port falls back to the routes of the host without the port.
+        """
         prefixes = self._by_host.get(host) or self._by_host.get(host.partition(":")[0])
         if prefixes is None:
             return None
@@ -31,6 +32,6 @@
         return None
 
     def __iter__(self):
-        """Go through all routes."""
+        """Iterate over all routes."""
         for prefixes in self._by_host.values():
             yield from prefixes.values()
--- a/packages/geraniumlead/src/geraniumlead/routes/split_chooser.py
+++ b/packages/geraniumlead/src/geraniumlead/routes/split_chooser.py
@@ -1,17 +1,16 @@
-"""Choose among the services of a split route by their weights."""
-
 from random import Random
 
 from geraniumlead.routes.targets import SplitServices
 
 
 class SplitChooser:
-    """Spread requests over services with the least deviation from the weights.
+    """Distribute requests over services with the least deviation from the weights.
 
-    Load pattern: a few requests a second at each of several instances. Independent draws
-    stray from the weights by a tenth or more over 50 requests; the service that is furthest
-    behind its share, taken each time, strays by less than one request. The start is drawn,
-    so that instances which start together do not all begin with the same service.
+    Load pattern: a few requests a second at each of several instances. Independent random
+    choices deviate from the weights by a tenth or more over 50 requests. Choosing each time the
+    service that is furthest behind its share deviates by less than one request. The initial
+    credits are random, so that instances which start together do not all begin with the same
+    service.
     """
 
     __slots__ = ("_credits", "_random", "_target")
@@ -22,7 +21,7 @@
         self._credits: dict[str, float] = {}
 
     def choose(self, target: SplitServices) -> str | None:
-        """Return the next service; None when no service has a weight."""
+        """Return the next service; None when no service has a positive weight."""
         if target != self._target:
             self._target = target
             self._credits = {name: self._random.random() for name, _ in target.weights}
--- a/packages/geraniumlead/tests/core_tests/forwarding/builders.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/builders.py
@@ -45,7 +45,7 @@
         "timeout_ms": 2_000.0,
         "latency_goal_ms": 300.0,
         "priority": 1,
-        "most_upstreams": 2,
+        "max_upstreams": 2,
         "allowed_regions": frozenset(),
     }
     return Route(**(values | changes))
--- a/packages/geraniumlead/tests/core_tests/forwarding/fleet_harness.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/fleet_harness.py
@@ -7,7 +7,7 @@
 from core_tests.forwarding.harness import ForwarderHarness
 from geraniumlead.forwarding import PeerHeard, PublishedNews, StartAttempt
 from geraniumlead.peering import PeeringMessage, decode_peering, encode_peering
-from geraniumlead.peering.peer_letter import PeerLetter
+from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
 
 HIGH = bytes([9]) * 16
 SEED_ADDRESS = "10.0.0.1:1"
@@ -64,7 +64,7 @@
                 for letter in letters:
                     self._send(address, letter)
 
-    def ask(self, address: str, key: int, **changes) -> list[PeerLetter]:
+    def ask(self, address: str, key: int, **changes) -> list[OutgoingPeerMessage]:
         """Ask one instance; return the letters that it wrote."""
         member = self.members[address]
         written = len(member.letters)
@@ -98,7 +98,7 @@
                 found[attempt.upstream.upstream_id].add(address)
         return found
 
-    def _send(self, address: str, letter: PeerLetter) -> None:
+    def _send(self, address: str, letter: OutgoingPeerMessage) -> None:
         if address in self.silent or letter.address in self.silent:
             return
         message = decode_peering(encode_peering(letter.message))
--- a/packages/geraniumlead/tests/core_tests/forwarding/harness.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/harness.py
@@ -16,7 +16,7 @@
     StartAttempt,
     TimePassed,
 )
-from geraniumlead.peering.peer_letter import PeerLetter
+from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
 
 
 class ForwarderHarness:
@@ -28,7 +28,7 @@
         self.started: list[StartAttempt] = []
         self.cancelled: list[int] = []
         self.replies: dict[int, object] = {}
-        self.letters: list[PeerLetter] = []
+        self.letters: list[OutgoingPeerMessage] = []
         self.logged: list[LogDecision] = []
 
     def handle(self, event) -> list[StartAttempt]:
@@ -46,7 +46,7 @@
                 case SendReply(key=key, reply=reply):
                     assert key not in self.replies, "a second reply"
                     self.replies[key] = reply
-                case PeerLetter():
+                case OutgoingPeerMessage():
                     self.letters.append(action)
                 case LogDecision():
                     self.logged.append(action)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_delegation.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_delegation.py
@@ -15,12 +15,12 @@
 from geraniumlead.peering import (
     DelegatedReply,
     DelegatedRequest,
+    DelegationAcknowledged,
     DelegationCancelled,
-    DelegationTaken,
     decode_peering,
     encode_peering,
 )
-from geraniumlead.peering.known_peer import WAY_SAMPLES
+from geraniumlead.peering.known_peer import DELAY_SAMPLES
 
 HIGH = bytes([9]) * 16
 NEAR = "entry-noord-1"
@@ -130,8 +130,8 @@
         shard costs one way there and back.
         """
         peer = self.near.forwarder._peers.directory.peers[FAR]
-        for _ in range(WAY_SAMPLES):
-            peer.note_way(120.0)
+        for _ in range(DELAY_SAMPLES):
+            peer.record_delay(120.0)
         self.assertEqual(5, len(self.near.ask()))
 
     def test_a_peer_with_an_older_configuration_declines(self):
@@ -194,7 +194,7 @@
 
         Asked again from here, the request would run on two.
         """
-        route = build_fan_out(shard_count=5, most_upstreams=1)
+        route = build_fan_out(shard_count=5, max_upstreams=1)
         records = [build_record("near", "shard-0")]
         for name in route.services():
             records += [
@@ -278,6 +278,6 @@
     def test_a_duplicate_word_or_reply_changes_nothing(self):
         self.near.ask()
         self.deliver()
-        self.near.handle(PeerHeard(FAR, DelegationTaken(1)))
+        self.near.handle(PeerHeard(FAR, DelegationAcknowledged(1)))
         self.near.handle(PeerHeard(FAR, DelegatedReply(99, True)))
         self.assertEqual({}, self.near.replies)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_far_blocks.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_far_blocks.py
@@ -141,7 +141,7 @@
             fleet.deliver()
             fleet.answer_all()
             self.assertEqual(0, entry.replies[key].missing)
-        self.assertIsNone(entry.forwarder._peers.directory.peers["entry-4"].silent_ms)
+        self.assertIsNone(entry.forwarder._peers.directory.peers["entry-4"].silent_since_ms)
 
     def test_a_peer_that_was_never_met_can_reply(self):
         """An instance is known by name only, and does not know who asks it."""
@@ -149,7 +149,7 @@
         entry, peer = fleet.members[address_of(0)], address_of(3)
         del fleet.members[peer].forwarder._peers.directory.peers["entry-1"]
         known = entry.forwarder._peers.directory.peers["entry-4"]
-        known.told_ms = known.heard_ms = known.echoed_ms = float("-inf")
+        known.hello_sent_ms = known.heard_ms = known.echoed_ms = float("-inf")
         known.mentioned_ms = fleet.now_ms
         for key in range(1, 9):
             fleet.ask(address_of(0), key)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_single_requests.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_single_requests.py
@@ -95,14 +95,14 @@
 
         Each retry takes one more upstream down, so the route's bound holds for failures too.
         """
-        harness = self.build(most_upstreams=2)
+        harness = self.build(max_upstreams=2)
         (first,) = harness.ask()
         (second,) = harness.end(first, PossiblyExecuted("reset"))
         self.assertEqual([], harness.end(second, PossiblyExecuted("reset")))
         self.assertEqual(502, harness.replies[1].status)
 
     def test_an_upstream_without_connection_does_not_count(self):
-        harness = self.build(most_upstreams=1)
+        harness = self.build(max_upstreams=1)
         (first,) = harness.ask()
         (second,) = harness.end(first, NotReached("refused"))
         harness.end(second, build_answer())
--- a/packages/geraniumlead/tests/core_tests/peering/test_store_watch.py
+++ b/packages/geraniumlead/tests/core_tests/peering/test_store_watch.py
@@ -1,12 +1,12 @@
-"""Test who reads the platform's store for others."""
+"""Tests of the choice of the instances that read the platform's store for others."""
 
 from collections.abc import Mapping
 from random import Random
 from unittest import TestCase
 
-from core_tests.peering.test_directory import Group
+from core_tests.peering.test_directory import SimulatedFleet
 from geraniumlead.peering import StoreWatch
-from geraniumlead.peering.store_watch import LEAST_INSTANCES, WATCHERS
+from geraniumlead.peering.store_watch import MIN_GROUP_SIZE, WATCHERS_PER_GROUP
 
 DATA_CENTRES = ("noord-a", "midden-a", "zuid-a")
 REGIONS = {"noord-a": "noord", "midden-a": "midden", "zuid-a": "zuid"}
@@ -20,8 +20,8 @@
         count: int,
         data_centres: tuple[str, ...] = DATA_CENTRES,
         regions: Mapping[str, str] = REGIONS,
-    ) -> tuple[Group, list[StoreWatch]]:
-        group = Group(count, (1, 2, 3), data_centres)
+    ) -> tuple[SimulatedFleet, list[StoreWatch]]:
+        group = SimulatedFleet(count, (1, 2, 3), data_centres)
         group.run_until(6_000.0)
         watches = [
             StoreWatch(member, data_centres[number % len(data_centres)], regions)
@@ -29,73 +29,74 @@
         ]
         return group, watches
 
-    def test_small_data_centres_of_a_region_share_two_who_watch(self):
-        """Three instances a data centre, all of which called the store each three seconds.
+    def test_small_data_centres_of_a_region_share_two_watchers(self):
+        """Guards against data centres of three instances that all call the store each 3 seconds.
 
         Their calls cost more than their machines, processors and memory together.
         """
         group, watches = self.build(9, PAIRED, PAIRED_REGIONS)
         watching = [n for n, watch in enumerate(watches) if watch.is_watcher(group.now_ms)]
         in_noord = [n for n in watching if PAIRED[n % 3] != "zuid-a"]
-        self.assertEqual(WATCHERS, len(in_noord))
+        self.assertEqual(WATCHERS_PER_GROUP, len(in_noord))
         self.assertEqual(3, len(watching) - len(in_noord))
         for number in in_noord:
-            self.assertEqual(5, len(watches[number].readers(group.now_ms)))
+            self.assertEqual(5, len(watches[number].update_receivers(group.now_ms)))
 
-    def test_a_small_data_centre_beside_a_large_one_watches_for_itself(self):
-        """Two data centres of a region see each other's sizes alike.
+    def test_small_data_centre_beside_a_large_one_watches_for_itself(self):
+        """Two data centres of a region agree on which of them are small.
 
-        Counted in by one of them only, an instance would wait for a watcher that tells it nothing.
+        Otherwise an instance might wait for a watcher that does not count it in its group, and
+        get no updates from it.
         """
         data_centres = ("noord-a",) * 5 + ("noord-b",)
         group, watches = self.build(6, data_centres, PAIRED_REGIONS)
         self.assertTrue(watches[5].is_watcher(group.now_ms))
-        self.assertEqual([], watches[5].readers(group.now_ms))
+        self.assertEqual([], watches[5].update_receivers(group.now_ms))
         watching = [n for n in range(5) if watches[n].is_watcher(group.now_ms)]
-        self.assertEqual(WATCHERS, len(watching))
+        self.assertEqual(WATCHERS_PER_GROUP, len(watching))
 
-    def test_two_of_each_data_centre_watch_and_tell_all_others_there(self):
+    def test_two_of_each_data_centre_watch_and_relay_to_all_others_there(self):
         group, watches = self.build(30)
         watching = [n for n, watch in enumerate(watches) if watch.is_watcher(group.now_ms)]
-        self.assertEqual(WATCHERS * len(DATA_CENTRES), len(watching))
+        self.assertEqual(WATCHERS_PER_GROUP * len(DATA_CENTRES), len(watching))
         for number in watching:
-            readers = watches[number].readers(group.now_ms)
+            readers = watches[number].update_receivers(group.now_ms)
             self.assertEqual(10 - 1, len(readers))
             expected = DATA_CENTRES[number % len(DATA_CENTRES)]
             self.assertEqual({expected}, {peer.contact.data_centre for peer in readers})
 
     def test_the_few_instances_of_a_small_data_centre_all_watch(self):
-        group, watches = self.build((LEAST_INSTANCES - 1) * len(DATA_CENTRES))
+        group, watches = self.build((MIN_GROUP_SIZE - 1) * len(DATA_CENTRES))
         self.assertTrue(all(watch.is_watcher(group.now_ms) for watch in watches))
-        self.assertTrue(all(not watch.readers(group.now_ms) for watch in watches))
+        self.assertTrue(all(not watch.update_receivers(group.now_ms) for watch in watches))
 
-    def test_one_who_reads_for_want_of_watchers_tells_all(self):
+    def test_instance_that_reads_for_lack_of_watchers_relays_to_all(self):
         group, watches = self.build(18)
         reader = next(watch for watch in watches if not watch.is_watcher(group.now_ms))
-        self.assertEqual(5, len(reader.readers(group.now_ms)))
+        self.assertEqual(5, len(reader.update_receivers(group.now_ms)))
 
-    def test_others_take_over_from_watchers_that_are_gone(self):
+    def test_other_instances_take_over_from_watchers_that_are_gone(self):
         group, watches = self.build(24)
         gone = {n for n, watch in enumerate(watches) if watch.is_watcher(group.now_ms)}
         group.dead = gone
         group.run_until(80_000.0)
         rest = [watch for n, watch in enumerate(watches) if n not in gone]
         watching = [watch for watch in rest if watch.is_watcher(group.now_ms)]
-        self.assertEqual(WATCHERS * len(DATA_CENTRES), len(watching))
+        self.assertEqual(WATCHERS_PER_GROUP * len(DATA_CENTRES), len(watching))
 
-    def test_the_state_is_asked_of_a_peer_of_the_own_data_centre(self):
+    def test_state_is_requested_from_a_peer_of_the_same_data_centre(self):
         group, watches = self.build(12)
         for number, watch in enumerate(watches):
-            peer = watch.informant(group.now_ms, Random(number))
+            peer = watch.choose_state_source(group.now_ms, Random(number))
             self.assertEqual(DATA_CENTRES[number % 3], peer.contact.data_centre)
 
-    def test_the_state_is_asked_elsewhere_by_the_last_of_a_data_centre(self):
+    def test_last_instance_of_a_data_centre_requests_the_state_elsewhere(self):
         group, watches = self.build(12)
         group.dead = set(range(3, 12, 3))
         group.run_until(group.now_ms + 30_000.0)
-        peer = watches[0].informant(group.now_ms, Random(1))
+        peer = watches[0].choose_state_source(group.now_ms, Random(1))
         self.assertNotEqual(DATA_CENTRES[0], peer.contact.data_centre)
 
-    def test_nobody_is_asked_for_the_state_by_one_who_is_alone(self):
+    def test_instance_without_peers_has_no_state_source(self):
         group, watches = self.build(1)
-        self.assertIsNone(watches[0].informant(group.now_ms, Random(1)))
+        self.assertIsNone(watches[0].choose_state_source(group.now_ms, Random(1)))
--- a/packages/geraniumlead/tests/core_tests/routes/test_route_table.py
+++ b/packages/geraniumlead/tests/core_tests/routes/test_route_table.py
@@ -1,4 +1,4 @@
-"""Test how routes are found and split."""
+"""Tests of the lookup of routes and of the choice among split services."""
 
 from collections import Counter
 from random import Random
@@ -28,7 +28,7 @@
         self.assertEqual("pages", self.find("/pages/older"))
         self.assertEqual("all", self.find("/x"))
 
-    def test_a_prefix_is_a_path_itself(self):
+    def test_prefix_matches_itself_only_with_its_slash(self):
         self.assertEqual("pages", self.find("/pages/"))
         self.assertEqual("all", self.find("/pages"))
 
@@ -39,10 +39,10 @@
 
 
 class SplitChooserTests(TestCase):
-    def test_shares_keep_to_the_weights_over_few_requests(self):
+    def test_shares_match_the_weights_over_few_requests(self):
         """A split route gets fifty requests at one instance.
 
-        Drawn independently, a tenth of its traffic would often go to the wrong part.
+        With independent random choices a tenth of its traffic would often go to the wrong service.
         """
         target = SplitServices((("old", 70.0), ("new", 30.0), ("off", 0.0)))
         for seed in range(20):
--- a/packages/geraniumlead/tests/core_tests/routing/test_router.py
+++ b/packages/geraniumlead/tests/core_tests/routing/test_router.py
@@ -62,7 +62,7 @@
         self.router.update(view, owners)
         for number in range(2):
             heartbeat = Heartbeat("i", "zuid", 1, 1, True)
-            self.membership.hear(f"zuid-{number}", heartbeat, 0.0)
+            self.membership.handle_message(f"zuid-{number}", heartbeat, 0.0)
 
     def send(self, now_ms: float, latencies_ms: dict[str, float]) -> str:
         route = self.router.choose(LOCAL + REMOTE, (), now_ms)
