--- a/packages/geraniumlead/tests/core_tests/peering/test_directory.py
+++ b/packages/geraniumlead/tests/core_tests/peering/test_directory.py
@@ -76,19 +76,19 @@
 
 class PeerDirectoryTests(TestCase):
     def test_all_instances_discover_each_other_from_one_live_seed(self):
-        group = SimulatedFleet(7, seeds=(3, 98, 99))
-        group.run_until(2_000.0)
-        self.assertEqual({6}, group.live_counts())
+        fleet = SimulatedFleet(7, seeds=(3, 98, 99))
+        fleet.run_until(2_000.0)
+        self.assertEqual({6}, fleet.live_counts())
 
     def test_silent_peer_is_gone_until_it_is_heard_again(self):
-        group = SimulatedFleet(3, seeds=(0,))
-        group.run_until(2_000.0)
-        group.blocked_links = {(2, 0), (2, 1)}
-        group.run_until(2_000.0 + PEER_TIMEOUT_MS + 1_200.0)
-        self.assertEqual(1, len(group.members[0].live(group.now_ms)))
-        group.blocked_links.clear()
-        group.run_until(group.now_ms + 1_500.0)
-        self.assertEqual({2}, group.live_counts())
+        fleet = SimulatedFleet(3, seeds=(0,))
+        fleet.run_until(2_000.0)
+        fleet.blocked_links = {(2, 0), (2, 1)}
+        fleet.run_until(2_000.0 + PEER_TIMEOUT_MS + 1_200.0)
+        self.assertEqual(1, len(fleet.members[0].live(fleet.now_ms)))
+        fleet.blocked_links.clear()
+        fleet.run_until(fleet.now_ms + 1_500.0)
+        self.assertEqual({2}, fleet.live_counts())
 
     def test_count_stays_at_its_highest_during_a_network_partition(self):
         """Two of six instances are isolated from the others, and each side sees fewer instances.
@@ -96,40 +96,40 @@
         If each side divided the limits by the number that it sees, both sides together would
         exceed the limits of the fleet.
         """
-        group = SimulatedFleet(6, seeds=(0,))
-        group.run_until(STARTUP_MS + 500.0)
-        for member in group.members:
-            self.assertEqual(6, member.instance_count(group.now_ms))
-        group.blocked_links = {(a, b) for a in range(6) for b in range(6) if (a < 2) != (b < 2)}
-        group.run_until(group.now_ms + PEER_TIMEOUT_MS + 2_000.0)
-        self.assertEqual(1, len(group.members[0].live(group.now_ms)))
-        self.assertEqual(6, group.members[0].instance_count(group.now_ms))
+        fleet = SimulatedFleet(6, seeds=(0,))
+        fleet.run_until(STARTUP_MS + 500.0)
+        for member in fleet.members:
+            self.assertEqual(6, member.instance_count(fleet.now_ms))
+        fleet.blocked_links = {(a, b) for a in range(6) for b in range(6) if (a < 2) != (b < 2)}
+        fleet.run_until(fleet.now_ms + PEER_TIMEOUT_MS + 2_000.0)
+        self.assertEqual(1, len(fleet.members[0].live(fleet.now_ms)))
+        self.assertEqual(6, fleet.members[0].instance_count(fleet.now_ms))
 
     def test_count_falls_when_instances_stay_away(self):
-        group = SimulatedFleet(4, seeds=(0,))
-        group.run_until(STARTUP_MS + 500.0)
-        group.members[0].instance_count(group.now_ms)
-        group.blocked_links = {(3, receiver) for receiver in range(3)}
+        fleet = SimulatedFleet(4, seeds=(0,))
+        fleet.run_until(STARTUP_MS + 500.0)
+        fleet.members[0].instance_count(fleet.now_ms)
+        fleet.blocked_links = {(3, receiver) for receiver in range(3)}
         for _ in range(60):
-            group.run_until(group.now_ms + 1_000.0)
-            count = group.members[0].instance_count(group.now_ms)
-        self.assertGreater(group.now_ms, COUNT_WINDOW_MS)
+            fleet.run_until(fleet.now_ms + 1_000.0)
+            count = fleet.members[0].instance_count(fleet.now_ms)
+        self.assertGreater(fleet.now_ms, COUNT_WINDOW_MS)
         self.assertEqual(3, count)
 
     def test_new_instance_assumes_a_minimum_count(self):
-        group = SimulatedFleet(1, seeds=(50,))
-        self.assertEqual(ASSUMED_START_INSTANCES, group.members[0].instance_count(100.0))
+        fleet = SimulatedFleet(1, seeds=(50,))
+        self.assertEqual(ASSUMED_START_INSTANCES, fleet.members[0].instance_count(100.0))
 
     def test_heartbeats_of_a_large_fleet_are_bounded_and_nearly_all_peers_stay_live(self):
         """A hundred instances exchange heartbeats.
 
         With heartbeats to all peers the cost of each instance would grow with the fleet.
         """
-        group = SimulatedFleet(100, seeds=(0,))
-        group.run_until(12_000.0)
+        fleet = SimulatedFleet(100, seeds=(0,))
+        fleet.run_until(12_000.0)
         # Each round has a new random order, so now and then a peer waits for two rounds.
-        self.assertGreaterEqual(min(group.live_counts()), 95)
-        hellos = group.members[5].pop_due_hellos(1, True, group.now_ms + 1_000.0)
+        self.assertGreaterEqual(min(fleet.live_counts()), 95)
+        hellos = fleet.members[5].pop_due_hellos(1, True, fleet.now_ms + 1_000.0)
         self.assertEqual(PEERS_PER_HEARTBEAT, len(hellos))
 
     def test_delay_to_a_peer_ignores_slow_hellos_of_a_restart(self):
@@ -159,21 +159,21 @@
 
     def test_clock_offset_is_reset_when_a_peer_restarts(self):
         """Guards against a peer whose updates seem late for ever, since its clock was reset."""
-        group = SimulatedFleet(2, seeds=(0,))
-        group.run_until(3_000.0)
-        group.members[1] = group.build(1, incarnation=99)
-        group.members[0].peers["entry-1"].clock_offset_ms = -50_000.0
-        group.run_until(6_000.0)
-        self.assertEqual(0.0, group.members[0].peers["entry-1"].extra_delay_ms(6_000.0, 6_000.0))
+        fleet = SimulatedFleet(2, seeds=(0,))
+        fleet.run_until(3_000.0)
+        fleet.members[1] = fleet.build(1, incarnation=99)
+        fleet.members[0].peers["entry-1"].clock_offset_ms = -50_000.0
+        fleet.run_until(6_000.0)
+        self.assertEqual(0.0, fleet.members[0].peers["entry-1"].extra_delay_ms(6_000.0, 6_000.0))
 
     def test_goodbye_applies_to_one_incarnation_only(self):
-        group = SimulatedFleet(2, seeds=(0,))
-        group.run_until(1_500.0)
-        group.members[0].handle_goodbye("entry-1", Goodbye(1))
-        self.assertEqual([], group.members[0].live(group.now_ms))
-        group.members[1]._incarnation = 77
-        group.run_until(group.now_ms + 1_500.0)
-        self.assertEqual(1, len(group.members[0].live(group.now_ms)))
+        fleet = SimulatedFleet(2, seeds=(0,))
+        fleet.run_until(1_500.0)
+        fleet.members[0].handle_goodbye("entry-1", Goodbye(1))
+        self.assertEqual([], fleet.members[0].live(fleet.now_ms))
+        fleet.members[1]._incarnation = 77
+        fleet.run_until(fleet.now_ms + 1_500.0)
+        self.assertEqual(1, len(fleet.members[0].live(fleet.now_ms)))
 
 
 class LargeFleetTests(TestCase):
@@ -187,12 +187,12 @@
         responses to callers.
         """
         for count in (85, 170):
-            group = self.build(count)
-            group.run_until(10_000.0)
-            group.sent_bytes = group.far_bytes = 0
-            group.run_until(14_000.0)
-            self.assertLess(group.sent_bytes / count / 4.0, 4_000.0)
-            self.assertLess(group.far_bytes / count / 4.0, 2_000.0)
+            fleet = self.build(count)
+            fleet.run_until(10_000.0)
+            fleet.sent_bytes = fleet.far_bytes = 0
+            fleet.run_until(14_000.0)
+            self.assertLess(fleet.sent_bytes / count / 4.0, 4_000.0)
+            self.assertLess(fleet.far_bytes / count / 4.0, 2_000.0)
 
     def test_all_instances_are_counted_within_seconds_of_a_start_of_all(self):
         """All instances start at the same moment, after a loss of power.
@@ -201,36 +201,36 @@
         together would exceed the limits; if they count too many, the fleet only serves a little
         less.
         """
-        group = self.build(85)
-        group.run_until(1_000.0)
-        self.assertLessEqual(SAFE_SLACK_PART * sum(1.0 / count for count in group.counts()), 1.0)
-        group.run_until(5_000.0)
-        self.assertEqual({85}, set(group.counts()))
+        fleet = self.build(85)
+        fleet.run_until(1_000.0)
+        self.assertLessEqual(SAFE_SLACK_PART * sum(1.0 / count for count in fleet.counts()), 1.0)
+        fleet.run_until(5_000.0)
+        self.assertEqual({85}, set(fleet.counts()))
 
     def test_new_instance_is_known_to_all_within_five_seconds(self):
-        group = self.build(85)
-        group.run_until(10_000.0)
-        group.members.append(group.build(85, 85))
-        group.run_until(15_000.0)
-        self.assertEqual({86}, set(group.counts()))
+        fleet = self.build(85)
+        fleet.run_until(10_000.0)
+        fleet.members.append(fleet.build(85, 85))
+        fleet.run_until(15_000.0)
+        self.assertEqual({86}, set(fleet.counts()))
 
     def test_fleet_recovers_from_a_long_network_partition(self):
         """A third of the fleet is isolated until both sides have forgotten each other."""
-        group = self.build(60)
-        group.run_until(10_000.0)
-        group.blocked_links = {
+        fleet = self.build(60)
+        fleet.run_until(10_000.0)
+        fleet.blocked_links = {
             (a, b) for a in range(60) for b in range(60) if (a % 3 == 0) != (b % 3 == 0)
         }
-        group.run_until(200_000.0)
-        self.assertLess(max(group.counts()), 45)
-        group.blocked_links.clear()
-        group.run_until(230_000.0)
-        self.assertEqual({60}, set(group.counts()))
+        fleet.run_until(200_000.0)
+        self.assertLess(max(fleet.counts()), 45)
+        fleet.blocked_links.clear()
+        fleet.run_until(230_000.0)
+        self.assertEqual({60}, set(fleet.counts()))
 
     def test_gossip_does_not_keep_dead_instances_alive(self):
         """Eight of thirty instances end without a goodbye, while the others gossip about peers."""
-        group = self.build(30)
-        group.run_until(8_000.0)
-        group.dead = set(range(22, 30))
-        group.run_until(120_000.0)
-        self.assertEqual({22}, set(group.counts()))
+        fleet = self.build(30)
+        fleet.run_until(8_000.0)
+        fleet.dead = set(range(22, 30))
+        fleet.run_until(120_000.0)
+        self.assertEqual({22}, set(fleet.counts()))
--- a/packages/geraniumlead/tests/core_tests/peering/test_store_watch.py
+++ b/packages/geraniumlead/tests/core_tests/peering/test_store_watch.py
@@ -21,26 +21,26 @@
         data_centres: tuple[str, ...] = DATA_CENTRES,
         regions: Mapping[str, str] = REGIONS,
     ) -> tuple[SimulatedFleet, list[StoreWatch]]:
-        group = SimulatedFleet(count, (1, 2, 3), data_centres)
-        group.run_until(6_000.0)
+        fleet = SimulatedFleet(count, (1, 2, 3), data_centres)
+        fleet.run_until(6_000.0)
         watches = [
             StoreWatch(member, data_centres[number % len(data_centres)], regions)
-            for number, member in enumerate(group.members)
+            for number, member in enumerate(fleet.members)
         ]
-        return group, watches
+        return fleet, watches
 
     def test_small_data_centres_of_a_region_share_two_watchers(self):
         """Guards against data centres of three instances that all call the store each 3 seconds.
 
         Their calls cost more than their machines, processors and memory together.
         """
-        group, watches = self.build(9, PAIRED, PAIRED_REGIONS)
-        watching = [n for n, watch in enumerate(watches) if watch.is_watcher(group.now_ms)]
+        fleet, watches = self.build(9, PAIRED, PAIRED_REGIONS)
+        watching = [n for n, watch in enumerate(watches) if watch.is_watcher(fleet.now_ms)]
         in_noord = [n for n in watching if PAIRED[n % 3] != "zuid-a"]
         self.assertEqual(WATCHERS_PER_GROUP, len(in_noord))
         self.assertEqual(3, len(watching) - len(in_noord))
         for number in in_noord:
-            self.assertEqual(5, len(watches[number].update_receivers(group.now_ms)))
+            self.assertEqual(5, len(watches[number].update_receivers(fleet.now_ms)))
 
     def test_small_data_centre_beside_a_large_one_watches_for_itself(self):
         """Two data centres of a region agree on which of them are small.
@@ -49,54 +49,54 @@
         get no updates from it.
         """
         data_centres = ("noord-a",) * 5 + ("noord-b",)
-        group, watches = self.build(6, data_centres, PAIRED_REGIONS)
-        self.assertTrue(watches[5].is_watcher(group.now_ms))
-        self.assertEqual([], watches[5].update_receivers(group.now_ms))
-        watching = [n for n in range(5) if watches[n].is_watcher(group.now_ms)]
+        fleet, watches = self.build(6, data_centres, PAIRED_REGIONS)
+        self.assertTrue(watches[5].is_watcher(fleet.now_ms))
+        self.assertEqual([], watches[5].update_receivers(fleet.now_ms))
+        watching = [n for n in range(5) if watches[n].is_watcher(fleet.now_ms)]
         self.assertEqual(WATCHERS_PER_GROUP, len(watching))
 
     def test_two_of_each_data_centre_watch_and_relay_to_all_others_there(self):
-        group, watches = self.build(30)
-        watching = [n for n, watch in enumerate(watches) if watch.is_watcher(group.now_ms)]
+        fleet, watches = self.build(30)
+        watching = [n for n, watch in enumerate(watches) if watch.is_watcher(fleet.now_ms)]
         self.assertEqual(WATCHERS_PER_GROUP * len(DATA_CENTRES), len(watching))
         for number in watching:
-            readers = watches[number].update_receivers(group.now_ms)
+            readers = watches[number].update_receivers(fleet.now_ms)
             self.assertEqual(10 - 1, len(readers))
             expected = DATA_CENTRES[number % len(DATA_CENTRES)]
             self.assertEqual({expected}, {peer.contact.data_centre for peer in readers})
 
     def test_the_few_instances_of_a_small_data_centre_all_watch(self):
-        group, watches = self.build((MIN_GROUP_SIZE - 1) * len(DATA_CENTRES))
-        self.assertTrue(all(watch.is_watcher(group.now_ms) for watch in watches))
-        self.assertTrue(all(not watch.update_receivers(group.now_ms) for watch in watches))
+        fleet, watches = self.build((MIN_GROUP_SIZE - 1) * len(DATA_CENTRES))
+        self.assertTrue(all(watch.is_watcher(fleet.now_ms) for watch in watches))
+        self.assertTrue(all(not watch.update_receivers(fleet.now_ms) for watch in watches))
 
     def test_instance_that_reads_for_lack_of_watchers_relays_to_all(self):
-        group, watches = self.build(18)
-        reader = next(watch for watch in watches if not watch.is_watcher(group.now_ms))
-        self.assertEqual(5, len(reader.update_receivers(group.now_ms)))
+        fleet, watches = self.build(18)
+        reader = next(watch for watch in watches if not watch.is_watcher(fleet.now_ms))
+        self.assertEqual(5, len(reader.update_receivers(fleet.now_ms)))
 
     def test_other_instances_take_over_from_watchers_that_are_gone(self):
-        group, watches = self.build(24)
-        gone = {n for n, watch in enumerate(watches) if watch.is_watcher(group.now_ms)}
-        group.dead = gone
-        group.run_until(80_000.0)
+        fleet, watches = self.build(24)
+        gone = {n for n, watch in enumerate(watches) if watch.is_watcher(fleet.now_ms)}
+        fleet.dead = gone
+        fleet.run_until(80_000.0)
         rest = [watch for n, watch in enumerate(watches) if n not in gone]
-        watching = [watch for watch in rest if watch.is_watcher(group.now_ms)]
+        watching = [watch for watch in rest if watch.is_watcher(fleet.now_ms)]
         self.assertEqual(WATCHERS_PER_GROUP * len(DATA_CENTRES), len(watching))
 
     def test_state_is_requested_from_a_peer_of_the_same_data_centre(self):
-        group, watches = self.build(12)
+        fleet, watches = self.build(12)
         for number, watch in enumerate(watches):
-            peer = watch.choose_state_source(group.now_ms, Random(number))
+            peer = watch.choose_state_source(fleet.now_ms, Random(number))
             self.assertEqual(DATA_CENTRES[number % 3], peer.contact.data_centre)
 
     def test_last_instance_of_a_data_centre_requests_the_state_elsewhere(self):
-        group, watches = self.build(12)
-        group.dead = set(range(3, 12, 3))
-        group.run_until(group.now_ms + 30_000.0)
-        peer = watches[0].choose_state_source(group.now_ms, Random(1))
+        fleet, watches = self.build(12)
+        fleet.dead = set(range(3, 12, 3))
+        fleet.run_until(fleet.now_ms + 30_000.0)
+        peer = watches[0].choose_state_source(fleet.now_ms, Random(1))
         self.assertNotEqual(DATA_CENTRES[0], peer.contact.data_centre)
 
     def test_instance_without_peers_has_no_state_source(self):
-        group, watches = self.build(1)
-        self.assertIsNone(watches[0].choose_state_source(group.now_ms, Random(1)))
+        fleet, watches = self.build(1)
+        self.assertIsNone(watches[0].choose_state_source(fleet.now_ms, Random(1)))
