--- a/packages/geraniumlead/src/geraniumlead/forwarding/aggregator_chooser.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/aggregator_chooser.py
@@ -103,7 +103,7 @@
             self._peers = {}
             self._rankings.clear()
             for peer in self._directory.peers.values():
-                if self._directory.may_be_asked(peer, now_ms):
+                if self._directory.may_be_reachable(peer, now_ms):
                     contact = peer.contact
                     self._peers.setdefault(contact.data_centre, {})[contact.instance_id] = peer
             for peers in self._peers.values():
@@ -117,9 +117,9 @@
         return (
             (serves or not is_fresh)
             and now_ms - peer.declined_ms >= DECLINED_BACKOFF_MS
-            and now_ms - peer.began_ms >= NEW_PEER_BACKOFF_MS
+            and now_ms - peer.started_ms >= NEW_PEER_BACKOFF_MS
             and peer.open_delegations < MAX_OPEN_DELEGATIONS
-            and self._directory.may_be_asked(peer, now_ms)
+            and self._directory.may_be_reachable(peer, now_ms)
             and self._is_silence_noticed_in_time(peer, opened.goal_ms - now_ms)
         )
 
@@ -127,7 +127,7 @@
         """Return whether a missing acknowledgement is noticed while the goal can be met."""
         if goal_left_ms < MIN_GOAL_LEFT_MS:
             return True
-        return peer.word_ms <= MAX_ACK_GOAL_SHARE * goal_left_ms
+        return peer.acknowledgement_timeout_ms <= MAX_ACK_GOAL_SHARE * goal_left_ms
 
     def load_of(self, peer: KnownPeer) -> tuple[int, float]:
         """Return the load of a peer as a sort key, with ties broken at random."""
@@ -136,6 +136,8 @@
 
 def _assume_delays(peers: Iterable[KnownPeer]) -> None:
     """Assume for peers without a known network delay the shortest one of their data centre."""
-    one_way_ms = min((peer.way_ms for peer in peers if peer.way_ms is not None), default=None)
+    one_way_ms = min(
+        (peer.one_way_delay_ms for peer in peers if peer.one_way_delay_ms is not None), default=None
+    )
     for peer in peers:
-        peer.assumed_way_ms = one_way_ms
+        peer.assumed_delay_ms = one_way_ms
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegation_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegation_tracker.py
@@ -9,12 +9,12 @@
     DelegatedReply,
     DelegatedRequest,
     DelegationCancelled,
-    DelegationShared,
+    DelegationHedged,
     KnownPeer,
     PeerContact,
     PeeringMessage,
 )
-from geraniumlead.peering.peer_letter import PeerLetter
+from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
 from geraniumlead.routes import FanOut, Route
 
 REPLY_SLACK_MS = 40.0
@@ -98,10 +98,10 @@
 
     def start(
         self, opened: OpenRequest, subrequests: list[Subrequest], peer: KnownPeer, now_ms: float
-    ) -> PeerLetter:
+    ) -> OutgoingPeerMessage:
         """Start a delegation; return the message that asks the peer for the shards."""
         self._last_number += 1
-        one_way_ms = peer.usual_way_ms
+        one_way_ms = peer.estimated_delay_ms
         request = opened.request
         time_left_ms = max(0.0, opened.end_ms - now_ms - one_way_ms)
         processing_ms = max(PEER_PROCESSING_MS, self._reply_delay.high_ms(now_ms))
@@ -143,13 +143,15 @@
             goal_left_ms=goal_left_ms,
             sender=self._own_contact,
         )
-        return PeerLetter(peer.contact.instance_id, peer.contact.address, message)
+        return OutgoingPeerMessage(peer.contact.instance_id, peer.contact.address, message)
 
     def _ack_timeout_ms(self, peer: KnownPeer, goal_left_ms: float, now_ms: float) -> float:
         """Return how long to wait for a peer's acknowledgement."""
         delay_ms = ACK_DELAY_FACTOR * self._ack_delay.high_ms(now_ms)
-        expected_ms = 2.0 * peer.usual_way_ms + delay_ms
-        return max(peer.word_ms, min(expected_ms, MAX_ACK_GOAL_SHARE * goal_left_ms))
+        expected_ms = 2.0 * peer.estimated_delay_ms + delay_ms
+        return max(
+            peer.acknowledgement_timeout_ms, min(expected_ms, MAX_ACK_GOAL_SHARE * goal_left_ms)
+        )
 
     def record_acknowledgement(self, number: int, now_ms: float) -> None:
         """Record a peer's acknowledgement; from now on it has until the goal to reply.
@@ -162,7 +164,7 @@
             return
         delegation.is_acknowledged = True
         ack_ms = now_ms - delegation.sent_ms
-        self._ack_delay.note(ack_ms - 2.0 * delegation.peer.usual_way_ms, now_ms)
+        self._ack_delay.note(ack_ms - 2.0 * delegation.peer.estimated_delay_ms, now_ms)
         if delegation.lateness is not Lateness.REPLY:
             self._set_due(delegation, delegation.reply_due_ms)
 
@@ -196,7 +198,7 @@
             delegation.opened.delegations.discard(number)
         return delegation
 
-    def cancel(self, opened: OpenRequest) -> list[PeerLetter]:
+    def cancel(self, opened: OpenRequest) -> list[OutgoingPeerMessage]:
         """Remove a request's delegations; return the cancellations to send."""
         removed = [self.pop(number) for number in sorted(opened.delegations)]
         return [self.build_cancel_message(found) for found in removed if found is not None]
@@ -218,7 +220,7 @@
                 self._set_due(delegation, now_ms + (now_ms - due_ms))
                 continue
             # Nothing more is delegated to the peer until it sends a message.
-            delegation.peer.silent_ms = now_ms
+            delegation.peer.silent_since_ms = now_ms
             self._advance_lateness(delegation, now_ms)
             overdue.append(delegation)
         return overdue
@@ -240,17 +242,19 @@
         """Return when ``pop_overdue`` has to be called."""
         return self._wakes.next_ms()
 
-    def build_shared_message(self, delegation: Delegation) -> PeerLetter:
+    def build_shared_message(self, delegation: Delegation) -> OutgoingPeerMessage:
         """Return the message that the subrequests are sent from here as well."""
-        return self._address_message(delegation, DelegationShared(delegation.number))
+        return self._address_message(delegation, DelegationHedged(delegation.number))
 
-    def build_cancel_message(self, delegation: Delegation) -> PeerLetter:
+    def build_cancel_message(self, delegation: Delegation) -> OutgoingPeerMessage:
         """Return the message that the subrequests are no longer needed."""
         return self._address_message(delegation, DelegationCancelled(delegation.number))
 
-    def _address_message(self, delegation: Delegation, message: PeeringMessage) -> PeerLetter:
+    def _address_message(
+        self, delegation: Delegation, message: PeeringMessage
+    ) -> OutgoingPeerMessage:
         contact = delegation.peer.contact
-        return PeerLetter(contact.instance_id, contact.address, message)
+        return OutgoingPeerMessage(contact.instance_id, contact.address, message)
 
 
 def find_delegated_route(message: DelegatedRequest, configuration) -> Route | None:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
@@ -6,15 +6,15 @@
     CrashNotice,
     DelegatedReply,
     DelegatedRequest,
+    DelegationAcknowledged,
     DelegationCancelled,
-    DelegationShared,
-    DelegationTaken,
-    Farewell,
+    DelegationHedged,
+    Goodbye,
     Hello,
     PeerDirectory,
     PeeringMessage,
 )
-from geraniumlead.peering.peer_letter import PeerLetter
+from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
 
 MAX_NOTIFIED_PEERS = 40
 """Maximum number of peers that are notified of a crash; it covers all peers of present fleets. In
@@ -57,31 +57,31 @@
         """Handle one message of a peer."""
         match message:
             case Hello():
-                for peer in self.directory.hear(message, now_ms):
-                    greeting = self.directory.greet(
+                for peer in self.directory.handle_hello(message, now_ms):
+                    greeting = self.directory.create_hello(
                         peer, self._configuration_version(), is_ready, now_ms
                     )
                     self._actions.append(greeting)
-            case Farewell():
-                self.directory.take_farewell(sender_id, message)
+            case Goodbye():
+                self.directory.handle_goodbye(sender_id, message)
             case DelegatedRequest():
                 self._serve_delegated(sender_id, message, now_ms, is_ready)
-            case DelegationTaken(number=number):
-                self.directory.note_response(sender_id)
+            case DelegationAcknowledged(number=number):
+                self.directory.record_response(sender_id)
                 self._runner.delegated.tracker.record_acknowledgement(number, now_ms)
             case DelegatedReply(number=number):
-                self.directory.note_response(sender_id)
+                self.directory.record_response(sender_id)
                 delegation = self._runner.delegated.tracker.handle_reply(number, message, now_ms)
                 if delegation is not None:
                     self._runner.take_delegated(delegation, message, now_ms)
             case CrashNotice(fingerprint=fingerprint, upstream_ids=upstream_ids):
                 self._runner.crashes.handle_notice(fingerprint, upstream_ids, now_ms)
-            case DelegationCancelled() | DelegationShared():
+            case DelegationCancelled() | DelegationHedged():
                 self._handle_delegation_change(sender_id, message, now_ms)
 
     def wake(self, now_ms: float, is_ready: bool) -> None:
         """Send due hellos and crash notices, handle overdue delegations and count the instances."""
-        self._actions += self.directory.take_letters(
+        self._actions += self.directory.pop_due_hellos(
             self._configuration_version(), is_ready, now_ms
         )
         for delegation in self._runner.delegated.tracker.pop_overdue(now_ms):
@@ -100,7 +100,9 @@
             notice = CrashNotice(fingerprint, upstream_ids)
             for peer in self.directory.live(now_ms)[:MAX_NOTIFIED_PEERS]:
                 contact = peer.contact
-                self._actions.append(PeerLetter(contact.instance_id, contact.address, notice))
+                self._actions.append(
+                    OutgoingPeerMessage(contact.instance_id, contact.address, notice)
+                )
         if now_ms >= self._count_due_ms:
             self._count_due_ms = now_ms + COUNT_INTERVAL_MS
             self._count_instances(now_ms)
@@ -111,7 +113,7 @@
 
     def send_goodbye(self, now_ms: float) -> None:
         """Tell peers that this instance takes no new requests."""
-        self._actions += self.directory.farewells(now_ms)
+        self._actions += self.directory.create_goodbyes(now_ms)
 
     def address_reply(self, action: ForwardingAction) -> ForwardingAction | None:
         """Return a reply to a peer as an addressed message, and any other action unchanged.
@@ -127,19 +129,19 @@
         self, sender_id: str, message: DelegatedRequest, now_ms: float, is_ready: bool
     ) -> None:
         if message.sender is not None:
-            self.directory.introduce(message.sender, now_ms)
+            self.directory.add_contact(message.sender, now_ms)
         configuration = self._published.configuration
         route = find_delegated_route(message, configuration)
         if route is None or configuration is None or not is_ready:
             declined = DelegatedReply(message.number, is_declined=True)
             self._actions.append(PeerReply(sender_id, declined))
             return
-        self._actions.append(PeerReply(sender_id, DelegationTaken(message.number)))
+        self._actions.append(PeerReply(sender_id, DelegationAcknowledged(message.number)))
         request = self._runner.delegated.registry.register(sender_id, message, now_ms)
         self._runner.start(request, route, configuration, now_ms)
 
     def _handle_delegation_change(
-        self, sender_id: str, message: DelegationCancelled | DelegationShared, now_ms: float
+        self, sender_id: str, message: DelegationCancelled | DelegationHedged, now_ms: float
     ) -> None:
         """Handle a message about a request that its sender has delegated to this instance."""
         registry = self._runner.delegated.registry
@@ -148,13 +150,13 @@
                 key = registry.pop_key(sender_id, number)
                 if key is not None:
                     self._runner.drop(key, now_ms)
-            case DelegationShared(number=number):
+            case DelegationHedged(number=number):
                 key = registry.find_key(sender_id, number)
                 if key is not None:
                     self._runner.note_shared(key)
 
     def _count_instances(self, now_ms: float) -> None:
-        count = self.directory.count(now_ms)
+        count = self.directory.instance_count(now_ms)
         live_ids = [peer.contact.instance_id for peer in self.directory.live(now_ms)]
         if (count, live_ids) != self._last_counted:
             self._last_counted = count, live_ids
@@ -166,11 +168,13 @@
             }
             self._actions.append(LogDecision("peers", fields))
 
-    def _address_message(self, instance_id: str, message: PeeringMessage) -> PeerLetter | None:
+    def _address_message(
+        self, instance_id: str, message: PeeringMessage
+    ) -> OutgoingPeerMessage | None:
         peer = self.directory.peers.get(instance_id)
         if peer is None:
             return None
-        return PeerLetter(instance_id, peer.contact.address, message)
+        return OutgoingPeerMessage(instance_id, peer.contact.address, message)
 
     def _configuration_version(self) -> int:
         configuration = self._published.configuration
--- a/packages/geraniumlead/src/geraniumlead/forwarding/published_state.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/published_state.py
@@ -70,9 +70,9 @@
     def handle_updates(self, event: PublishedUpdates, now_ms: float) -> None:
         """Apply updates that were read from the store."""
         self._record_answered(now_ms)
-        self._fleet.note_read(now_ms - event.age_ms)
+        self._fleet.record_read(now_ms - event.age_ms)
         if event.is_after_outage:
-            self._fleet.note_platform_returned(now_ms)
+            self._fleet.record_platform_return(now_ms)
         for item in event.updates:
             match item:
                 case ConfigurationSeen(configuration=configuration):
@@ -112,7 +112,7 @@
             # The store may have been unavailable for long before a call failed.
             outage_ms = now_ms - self.answered_ms
             if outage_ms >= LAPSE_OUTAGE_MS:
-                self._fleet.note_platform_returned(now_ms)
+                self._fleet.record_platform_return(now_ms)
             self._log("store_regained", {"away_ms": round(now_ms - self._lost_since_ms)})
             self._lost_since_ms = None
         self.answered_ms = now_ms
@@ -127,7 +127,7 @@
 
     def _apply_upstream(self, record: UpstreamRecord, now_ms: float) -> None:
         before = self._fleet.put(record)
-        if before is not None and before.is_same_life(record):
+        if before is not None and before.is_same_start(record):
             self._chooser.cold_limiter.record_cold(record.upstream_id, record.cold_left_ms, now_ms)
             if before.is_ready != record.is_ready:
                 fields = {"upstream": record.upstream_id, "ready": record.is_ready}
--- a/packages/geraniumlead/src/geraniumlead/forwarding/upstream_chooser.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/upstream_chooser.py
@@ -172,7 +172,7 @@
         return self._settings.regions.get(record.data_centre) == self._settings.region
 
     def _max_in_flight(self, service: UpstreamService) -> int:
-        return max(MIN_CONNECTIONS, service.most_connections // self._instance_count)
+        return max(MIN_CONNECTIONS, service.max_connections // self._instance_count)
 
     def _is_allowed(self, route: Route, record: UpstreamRecord) -> bool:
         if not route.allowed_regions:
