--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_daemon.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_daemon.py
@@ -12,7 +12,7 @@
     CancelAttempt,
     Forwarder,
     ForwardingAction,
-    PeerHeard,
+    PeerMessageReceived,
     StartAttempt,
 )
 from geraniumlead.peering import (
@@ -206,7 +206,7 @@
             case StateWanted(beyond_revision=beyond_revision):
                 self._tell_state(sender_id, beyond_revision)
             case _:
-                self._driver.handle(PeerHeard(sender_id, message))
+                self._driver.handle(PeerMessageReceived(sender_id, message))
 
     def _take_relayed(self, sender_id: str, news: StoreNews) -> None:
         if self._follower is None:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/fleet_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/fleet_run.py
@@ -11,7 +11,7 @@
     ForwardedRequest,
     ForwardingAction,
     MergedReply,
-    PeerHeard,
+    PeerMessageReceived,
     PublishedUpdates,
     RequestArrived,
     SendReply,
@@ -172,7 +172,7 @@
     def _pass_letter(self, sender: ModelInstance, letter: PeerLetter) -> None:
         receiver = self._by_address[letter.address]
         way_ms = self._load.one_way_ms(sender.data_centre, receiver.data_centre)
-        heard = PeerHeard(sender.instance_id, letter.message)
+        heard = PeerMessageReceived(sender.instance_id, letter.message)
         cost_ms = self._load.costs.letter_ms
         self._queue.add(self._queue.now_ms + way_ms, lambda: receiver.take(heard, cost_ms))
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/ablation.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/ablation.py
@@ -4,7 +4,7 @@
 from contextlib import AbstractContextManager, nullcontext
 from unittest.mock import patch
 
-from geraniumlead.forwarding import late_clock, upstream_chooser
+from geraniumlead.forwarding import lateness_estimator, upstream_chooser
 from geraniumlead.forwarding.open_request import OpenRequest
 from geraniumlead.forwarding.subrequest_sender import SubrequestSender
 from geraniumlead.forwarding.upstream_estimate import UpstreamEstimate
@@ -17,10 +17,10 @@
 VARIANTS: dict[str, Callable[[], AbstractContextManager]] = {
     "all on": nullcontext,
     "no second sending of late parts": lambda: patch.object(
-        SubrequestSender, "repeat_late", lambda self, opened, now_ms: None
+        SubrequestSender, "hedge_late", lambda self, opened, now_ms: None
     ),
     "no bound on lateness by the usual time": lambda: patch.object(
-        late_clock, "MOST_LATE_FACTOR", NEVER
+        lateness_estimator, "MAX_LATE_FACTOR", NEVER
     ),
     "no estimate of slowness": lambda: patch.object(
         UpstreamEstimate, "slowness_at", lambda self, now_ms: 1.0
--- a/packages/geraniumlead/src/geraniumlead/forwarding/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Forward opaque requests: to one upstream, or to one of every shard."""
+"""Forward opaque requests to one upstream, or to one upstream of each shard."""
 
 from geraniumlead.forwarding.actions import (
     CancelAttempt,
@@ -11,7 +11,7 @@
     AttemptEnded,
     CallerLeft,
     ForwardingEvent,
-    PeerHeard,
+    PeerMessageReceived,
     PublishedUpdates,
     ReplyWritten,
     RequestArrived,
@@ -54,7 +54,7 @@
     "NotExecuted",
     "NotReached",
     "OwnReply",
-    "PeerHeard",
+    "PeerMessageReceived",
     "PossiblyExecuted",
     "PublishedUpdates",
     "RelayedReply",
--- a/packages/geraniumlead/src/geraniumlead/forwarding/actions.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/actions.py
@@ -1,4 +1,4 @@
-"""Define the output of the forwarder."""
+"""Actions that the forwarder returns."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Send a request to an upstream; it has ``time_left_ms`` to answer."""
+    """Send a request to an upstream, which has ``time_left_ms`` to answer."""
 
     attempt_id: int
     upstream: UpstreamRecord
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Close an attempt's connection; its end is of no interest any more."""
+    """Close the connection of an attempt whose result is no longer needed."""
 
     attempt_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendReply:
-    """Give a caller its answer."""
+    """Send a reply to a caller."""
 
     key: int
     reply: Reply
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerReply:
-    """Tell a peer what became of the shards that it asked for."""
+    """Send a peer the acknowledgement or the results of a request that it delegated."""
 
     sender_id: str
     message: DelegatedReply | DelegationTaken
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogDecision:
-    """Write one line: ``fields`` are the inputs that decided, and the outcome."""
+    """Write a log line: ``fields`` holds the inputs of a decision and its outcome."""
 
     name: str
     fields: dict
--- a/packages/geraniumlead/src/geraniumlead/forwarding/attempt_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/attempt_tracker.py
@@ -1,12 +1,10 @@
-"""Send attempts, remember which are out, and learn from their ends."""
-
 from random import Random
 
 from geraniumlead.fleet import FleetView, UpstreamRecord
 from geraniumlead.forwarding.actions import CancelAttempt, ForwardingAction, StartAttempt
 from geraniumlead.forwarding.extra_attempt_budgets import ExtraAttemptBudgets
 from geraniumlead.forwarding.isolation_detector import IsolationDetector
-from geraniumlead.forwarding.late_clock import LateClock
+from geraniumlead.forwarding.lateness_estimator import LatenessEstimator
 from geraniumlead.forwarding.open_request import Attempt, OpenRequest, Subrequest
 from geraniumlead.forwarding.relative_rtts import RelativeRtts
 from geraniumlead.forwarding.results import (
@@ -21,7 +19,11 @@
 
 
 class AttemptTracker:
-    """Tie every attempt that is out to its leg, and learn from what becomes of it."""
+    """A tracker of the open attempts, which updates the latency and health estimates.
+
+    Each attempt is sent here, and its result or its cancellation updates the estimates of its
+    upstream, route and data centre.
+    """
 
     __slots__ = (
         "_actions",
@@ -29,8 +31,8 @@
         "_next_id",
         "budgets",
         "chooser",
-        "clock",
         "isolation",
+        "lateness",
         "relative_rtts",
     )
 
@@ -45,94 +47,98 @@
         self._attempts: dict[int, Attempt] = {}
         self._next_id = 0
         self.budgets = ExtraAttemptBudgets(settings)
-        self.clock = LateClock()
+        self.lateness = LatenessEstimator()
         self.isolation = IsolationDetector()
         self.relative_rtts = RelativeRtts(settings)
         self.chooser = UpstreamChooser(settings, fleet, self.relative_rtts, random)
 
     def choose(
-        self, leg: Subrequest, now_ms: float, only_good: bool = False
+        self, subrequest: Subrequest, now_ms: float, only_good: bool = False
     ) -> UpstreamRecord | None:
-        """Return the upstream for the next attempt of a leg; None when there is none."""
-        opened = leg.request
-        service = opened.configuration.services.get(leg.service)
-        if service is None or len(leg.sent_to) >= opened.route.most_upstreams:
+        """Return the upstream for the next attempt of a subrequest, or None."""
+        opened = subrequest.request
+        service = opened.configuration.services.get(subrequest.service)
+        if service is None or len(subrequest.sent_to) >= opened.route.most_upstreams:
             return None
-        usual_ms = self.clock.median_latency_ms(opened.route, now_ms)
+        median_latency_ms = self.lateness.median_latency_ms(opened.route, now_ms)
         return self.chooser.choose(
-            opened.route, service, leg.tried, usual_ms, now_ms, only_good=only_good
+            opened.route, service, subrequest.tried, median_latency_ms, now_ms, only_good=only_good
         )
 
-    def could_wait(self, leg: Subrequest, now_ms: float) -> bool:
-        """Return whether a leg only lacks a place at an upstream."""
-        opened = leg.request
-        if leg.service not in opened.configuration.services:
+    def could_wait(self, subrequest: Subrequest, now_ms: float) -> bool:
+        """Return whether a subrequest only lacks a free call slot at an upstream."""
+        opened = subrequest.request
+        if subrequest.service not in opened.configuration.services:
             return False
-        return self.chooser.has_untried(opened.route, leg.service, leg.tried, now_ms)
+        return self.chooser.has_untried(opened.route, subrequest.service, subrequest.tried, now_ms)
 
-    def send(self, leg: Subrequest, upstream: UpstreamRecord, now_ms: float) -> None:
-        """Send a leg's request to an upstream."""
-        opened = leg.request
+    def send(self, subrequest: Subrequest, upstream: UpstreamRecord, now_ms: float) -> None:
+        """Send a subrequest to an upstream."""
+        opened = subrequest.request
         self._next_id += 1
-        way_ms = self.relative_rtts.relative_rtt_ms(upstream.data_centre)
-        second_way_ms = self.chooser.second_relative_rtt_ms(leg.service, upstream, way_ms)
-        attempt = Attempt(self._next_id, leg, upstream, now_ms, way_ms, second_way_ms)
+        relative_rtt_ms = self.relative_rtts.relative_rtt_ms(upstream.data_centre)
+        second_relative_rtt_ms = self.chooser.second_relative_rtt_ms(
+            subrequest.service, upstream, relative_rtt_ms
+        )
+        attempt = Attempt(
+            self._next_id, subrequest, upstream, now_ms, relative_rtt_ms, second_relative_rtt_ms
+        )
         self._attempts[attempt.attempt_id] = attempt
-        leg.open_attempts[attempt.attempt_id] = attempt
-        leg.tried.add(upstream.upstream_id)
-        leg.sent_to.append(upstream.upstream_id)
+        subrequest.open_attempts[attempt.attempt_id] = attempt
+        subrequest.tried.add(upstream.upstream_id)
+        subrequest.sent_to.append(upstream.upstream_id)
         self.chooser.note_sent(upstream, now_ms)
         left_ms = opened.end_ms - now_ms
         self._actions.append(StartAttempt(attempt.attempt_id, upstream, opened.request, left_ms))
 
-    def send_again(
-        self, leg: Subrequest, upstream: UpstreamRecord, why: str, now_ms: float
+    def resend(
+        self, subrequest: Subrequest, upstream: UpstreamRecord, why: str, now_ms: float
     ) -> None:
-        """Send a leg's request once more, at the cost of the service's budget."""
-        opened = leg.request
-        self.budgets.record_extra(leg.service, now_ms)
+        """Send a subrequest again and charge the service's budget of extra attempts."""
+        opened = subrequest.request
+        self.budgets.record_extra(subrequest.service, now_ms)
         opened.extra_attempts += 1
-        opened.note(leg, upstream.upstream_id, f"again: {why}", now_ms)
-        self.send(leg, upstream, now_ms)
+        opened.record_step(subrequest, upstream.upstream_id, f"again: {why}", now_ms)
+        self.send(subrequest, upstream, now_ms)
 
-    def take(self, attempt_id: int, result: AttemptResult, now_ms: float) -> Attempt | None:
-        """Take an attempt out that ended; None when nobody waits for it."""
+    def finish(self, attempt_id: int, result: AttemptResult, now_ms: float) -> Attempt | None:
+        """Remove an attempt that ended and return it; None if it was cancelled before."""
         attempt = self._attempts.pop(attempt_id, None)
         if attempt is None:
             return None
         del attempt.subrequest.open_attempts[attempt_id]
-        self._learn(attempt, result, now_ms)
+        self._update_estimates(attempt, result, now_ms)
         return attempt
 
-    def cancel(self, leg: Subrequest, now_ms: float) -> None:
-        """Cancel what is out for a leg."""
-        for attempt in leg.open_attempts.values():
+    def cancel(self, subrequest: Subrequest, now_ms: float) -> None:
+        """Cancel the open attempts of a subrequest."""
+        for attempt in subrequest.open_attempts.values():
             del self._attempts[attempt.attempt_id]
             self._actions.append(CancelAttempt(attempt.attempt_id))
             estimate = self.chooser.estimate_of(attempt.upstream.upstream_id)
             estimate.in_flight -= 1
             elapsed_ms = now_ms - attempt.sent_ms - attempt.relative_rtt_ms
-            route = leg.request.route
-            usual_ms = self.clock.median_latency_ms(route, now_ms)
-            estimate.note_at_least(elapsed_ms / usual_ms, now_ms)
-            if attempt.is_overdue and leg.answer is not None:
-                # Without those that lost to a second attempt, the quantile would sink from
-                # window to window, and ever more attempts would count as late.
-                self.clock.record(route, elapsed_ms, now_ms)
-        leg.open_attempts.clear()
+            route = subrequest.request.route
+            median_latency_ms = self.lateness.median_latency_ms(route, now_ms)
+            estimate.note_at_least(elapsed_ms / median_latency_ms, now_ms)
+            if attempt.is_overdue and subrequest.answer is not None:
+                # If attempts that lost to a second one were not recorded, the quantile would
+                # fall with each window, and more and more attempts would count as late.
+                self.lateness.record(route, elapsed_ms, now_ms)
+        subrequest.open_attempts.clear()
 
     def cancel_all(self, opened: OpenRequest, now_ms: float) -> None:
-        """Cancel what is out for a request."""
-        for leg in opened.subrequests:
-            self.cancel(leg, now_ms)
+        """Cancel the open attempts of a request."""
+        for subrequest in opened.subrequests:
+            self.cancel(subrequest, now_ms)
 
-    def note_overdue(self, attempt: Attempt, now_ms: float) -> None:
-        """Pass over an upstream while a call of it is overdue."""
+    def record_overdue(self, attempt: Attempt, now_ms: float) -> None:
+        """Mark an attempt as overdue, so that its upstream is avoided for a while."""
         upstream = attempt.upstream
         attempt.is_overdue = True
         self.chooser.estimate_of(upstream.upstream_id).note_overdue(now_ms)
 
-    def _learn(self, attempt: Attempt, result: AttemptResult, now_ms: float) -> None:
+    def _update_estimates(self, attempt: Attempt, result: AttemptResult, now_ms: float) -> None:
         estimate = self.chooser.estimate_of(attempt.upstream.upstream_id)
         estimate.in_flight -= 1
         route = attempt.subrequest.request.route
@@ -147,9 +153,9 @@
                 latency_ms = now_ms - attempt.sent_ms
                 self.relative_rtts.note(upstream.data_centre, latency_ms, now_ms)
                 work_ms = max(0.0, latency_ms - attempt.relative_rtt_ms)
-                usual_ms = self.clock.median_latency_ms(route, now_ms)
-                estimate.note_latency(work_ms / usual_ms, now_ms)
-                self.clock.record(route, work_ms, now_ms)
+                median_latency_ms = self.lateness.median_latency_ms(route, now_ms)
+                estimate.note_latency(work_ms / median_latency_ms, now_ms)
+                self.lateness.record(route, work_ms, now_ms)
             case NotExecuted(is_other_upstream=True):
                 estimate.note_gone(now_ms)
             case NotReached():
--- a/packages/geraniumlead/src/geraniumlead/forwarding/crash_refusal.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/crash_refusal.py
@@ -1,8 +1,8 @@
 """Refuse a request that has crashed the upstreams that ran it."""
 
 from geraniumlead.forwarding.actions import ForwardingAction, LogDecision, SendReply
-from geraniumlead.forwarding.closing import UNAVAILABLE
 from geraniumlead.forwarding.crash_tracker import QUARANTINE_MS
+from geraniumlead.forwarding.final_reply import UNAVAILABLE
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
 from geraniumlead.forwarding.replies import OwnReply
 from geraniumlead.routes import Route
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegated_subrequests.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegated_subrequests.py
@@ -58,7 +58,7 @@
                 # of the answer of any shard that was asked from here as well.
                 answer = Completed(OK, (), records, signature)
                 delegation.opened.settle_answered(leg, answer)
-                self._legs.cancel_leg(leg, now_ms)
+                self._legs.cancel_subrequest(leg, now_ms)
                 records = b""
         if reply.is_final:
             why = "declined" if reply.is_declined else "missing at the peer"
@@ -80,8 +80,8 @@
             delegation.is_shared = True
             self._actions.append(self.delegations.shared_letter(delegation))
             for leg in missing:
-                self._legs.note_tried(leg, (None,))
-        self._legs.ask_beside(missing, delegation.lateness is Lateness.REPLY, now_ms)
+                self._legs.record_peer_attempts(leg, (None,))
+        self._legs.hedge_delegated(missing, delegation.lateness is Lateness.REPLY, now_ms)
 
     def take_back(self, delegation: Delegation, why: str, now_ms: float) -> None:
         """Ask the shards from here that a peer no longer brings."""
@@ -120,6 +120,6 @@
         missing = [leg for leg in delegation.legs if not leg.is_settled]
         for leg in missing:
             leg.is_delegated = False
-            self._legs.note_tried(leg, tried.get(leg.service, ()))
+            self._legs.record_peer_attempts(leg, tried.get(leg.service, ()))
         unasked = [leg for leg in missing if not leg.open_attempts]
-        self._legs.ask_again(delegation.opened, unasked, why, now_ms)
+        self._legs.retry_delegated(delegation.opened, unasked, why, now_ms)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegations.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegations.py
@@ -103,7 +103,7 @@
         way_ms = peer.usual_way_ms
         request = opened.request
         time_left_ms = max(0.0, opened.end_ms - now_ms - way_ms)
-        work_ms = max(PEER_WORK_MS, self._reply_delay.high_ms(now_ms))
+        work_ms = max(PEER_WORK_MS, self._reply_delay.quantile_ms(now_ms))
         goal_left_ms = opened.goal_ms - now_ms - 2.0 * way_ms - work_ms
         if goal_left_ms < LEAST_GOAL_LEFT_MS:
             # It will be late in any case, and then only needs enough shards.
@@ -138,7 +138,7 @@
 
     def _word_patience_ms(self, peer: KnownPeer, goal_left_ms: float, now_ms: float) -> float:
         """Return how long a peer may take to say that it serves a request."""
-        delay_ms = WORD_DELAY_FACTOR * self._word_delay.high_ms(now_ms)
+        delay_ms = WORD_DELAY_FACTOR * self._word_delay.quantile_ms(now_ms)
         usual_ms = 2.0 * peer.usual_way_ms + delay_ms
         return max(peer.word_ms, min(usual_ms, MOST_TAKEN_GOAL_SHARE * goal_left_ms))
 
@@ -153,7 +153,7 @@
             return
         delegation.is_taken = True
         word_ms = now_ms - delegation.asked_ms
-        self._word_delay.note(word_ms - 2.0 * delegation.peer.usual_way_ms, now_ms)
+        self._word_delay.record(word_ms - 2.0 * delegation.peer.usual_way_ms, now_ms)
         if delegation.lateness is not Lateness.REPLY:
             self._set_due(delegation, delegation.reply_due_ms)
 
@@ -176,7 +176,7 @@
             delegation.is_taken = True
             delegation.due_ms = float("inf")
             late_ms = PEER_WORK_MS + now_ms - delegation.report_ms
-            self._reply_delay.note(late_ms, now_ms)
+            self._reply_delay.record(late_ms, now_ms)
         return delegation
 
     def take(self, number: int) -> Delegation | None:
@@ -195,7 +195,7 @@
     def take_overdue(self, now_ms: float) -> list[Delegation]:
         """Return what peers said nothing of in time; what is given up is taken out."""
         overdue = []
-        while (due := self._wakes.take_due(now_ms)) is not None:
+        while (due := self._wakes.pop_due(now_ms)) is not None:
             due_ms, number = due
             delegation = self._open.get(number)
             if delegation is None or delegation.due_ms != due_ms:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/events.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Define the input of the forwarder."""
+"""Events that the forwarder handles."""
 
 from dataclasses import dataclass
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A caller sent a whole request."""
+    """A complete request of a caller was received."""
 
     request: ForwardedRequest
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLeft:
-    """A caller closed its connection before it had its answer."""
+    """A caller closed its connection before it received a reply."""
 
     key: int
 
@@ -32,10 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishedUpdates:
-    """The store was read: ``is_snapshot`` when everything that stands there is in ``news``.
+    """Updates that were read from the platform's store.
 
-    ``is_after_outage`` when another instance read it that had lost it shortly before; ``source``
-    names that instance. ``age_ms`` is how long ago the store gave the answer, at the most.
+    ``is_snapshot`` is set if ``updates`` holds all entries of the store. ``is_after_outage`` is
+    set if another instance read them that had lost its connection to the store shortly before;
+    ``source`` names that instance. ``age_ms`` is the maximum time since the store answered.
     """
 
     updates: tuple[PublishedUpdate, ...]
@@ -47,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreLost:
-    """The store did not answer for a while."""
+    """The platform's store has not answered for some time."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
-class PeerHeard:
-    """A message came from another instance."""
+class PeerMessageReceived:
+    """A message of another instance was received."""
 
     sender_id: str
     message: PeeringMessage
@@ -62,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyWritten:
-    """A reply was written to its caller's connection, so long after it was decided."""
+    """A reply was written to its caller's connection ``took_ms`` after it was decided."""
 
     took_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class TimePassed:
-    """A time came that ``next_wake_ms`` had named."""
+    """The time that ``next_wake_ms`` returned has come."""
 
 
 ForwardingEvent = (
@@ -78,7 +79,7 @@
     | AttemptEnded
     | PublishedUpdates
     | StoreLost
-    | PeerHeard
+    | PeerMessageReceived
     | ReplyWritten
     | TimePassed
 )
--- a/packages/geraniumlead/src/geraniumlead/forwarding/extra_attempt_budgets.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/extra_attempt_budgets.py
@@ -1,22 +1,20 @@
-"""Hold the budget of extra requests of every service."""
-
 from geraniumlead.forwarding.extra_attempt_budget import ExtraAttemptBudget
 from geraniumlead.settings.forwarding_settings import ForwardingSettings
 
 SAFE_SLACK_PART = 0.8
-"""Part of the fixed slack that is divided: views of how many instances live may differ by
-one or two while some start or end."""
+"""Part of the fixed slack that is divided among the instances. While instances start or stop, their
+counts of the live instances may differ by one or two."""
 
-PLENTY_SHARE = 0.5
-"""Budget left (of the window's) above which late calls are repeated early."""
+AMPLE_SHARE = 0.5
+"""Unused part of the window's budget above which late attempts are hedged early."""
 
 RESERVE_SHARE = 0.2
-"""Budget left (of the window's) that is kept for attempts that have failed: a late one may
-still be answered, a failed one not."""
+"""Part of the window's budget that is reserved for retries of failed attempts: a late attempt may
+still be answered, a failed one can't."""
 
 
 class ExtraAttemptBudgets:
-    """Count first and extra requests by service."""
+    """The budgets of extra attempts of all services."""
 
     __slots__ = ("_budgets", "_instances", "_settings")
 
@@ -26,40 +24,40 @@
         self._budgets: dict[str, ExtraAttemptBudget] = {}
 
     def set_instances(self, count: int) -> None:
-        """Divide the slack anew."""
+        """Divide the fixed slack by a new number of instances."""
         self._instances = max(1, count)
         for budget in self._budgets.values():
             budget.set_slack(self._slack())
 
     def apply_settings(self, settings: ForwardingSettings) -> None:
-        """Begin anew with changed figures."""
+        """Reset all budgets if the settings have changed."""
         if settings != self._settings:
             self._settings = settings
             self._budgets.clear()
 
     def record_first(self, service: str, now_ms: float) -> None:
-        """Count a request that goes to a service for the first time."""
-        self._of(service).record_first(now_ms)
+        """Count a first attempt at a service."""
+        self._budget_of(service).record_first(now_ms)
 
-    def may_repeat_failed(self, service: str, now_ms: float) -> bool:
-        """Return whether a failed request may be sent again."""
-        return self._of(service).left(now_ms) >= 1.0
+    def may_retry(self, service: str, now_ms: float) -> bool:
+        """Return whether a failed attempt may be retried."""
+        return self._budget_of(service).remaining(now_ms) >= 1.0
 
-    def may_repeat_late(self, service: str, now_ms: float) -> bool:
-        """Return whether a late request may be sent again."""
-        budget = self._of(service)
-        return budget.left(now_ms) >= 1.0 and budget.left_share(now_ms) >= RESERVE_SHARE
+    def may_hedge(self, service: str, now_ms: float) -> bool:
+        """Return whether a late attempt may be hedged."""
+        budget = self._budget_of(service)
+        return budget.remaining(now_ms) >= 1.0 and budget.remaining_share(now_ms) >= RESERVE_SHARE
 
-    def has_plenty(self, service: str, now_ms: float) -> bool:
-        """Return whether requests that are only a little late may be sent again."""
-        budget = self._of(service)
-        return budget.left(now_ms) >= 1.0 and budget.left_share(now_ms) >= PLENTY_SHARE
+    def has_ample_budget(self, service: str, now_ms: float) -> bool:
+        """Return whether attempts that are only slightly late may be hedged."""
+        budget = self._budget_of(service)
+        return budget.remaining(now_ms) >= 1.0 and budget.remaining_share(now_ms) >= AMPLE_SHARE
 
     def record_extra(self, service: str, now_ms: float) -> None:
-        """Count a request that is sent again."""
-        self._of(service).record_extra(now_ms)
+        """Count an extra attempt at a service."""
+        self._budget_of(service).record_extra(now_ms)
 
-    def _of(self, service: str) -> ExtraAttemptBudget:
+    def _budget_of(self, service: str) -> ExtraAttemptBudget:
         budget = self._budgets.get(service)
         if budget is None:
             settings = self._settings
--- a/packages/geraniumlead/src/geraniumlead/forwarding/closing.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/final_reply.py
@@ -11,10 +11,11 @@
 
 
 def decide_reply(opened: OpenRequest, reason: str, retry_after_ms: float) -> Reply:
-    """Return what the caller gets of a request that ends now.
+    """Return the reply to the caller of a request that ends now.
 
-    503 says that nothing ran, so it is given only when surely nothing did; else 504 when the
-    time was over, or 502, which promise nothing.
+    503 states that nothing was executed, so it is returned only when that is certain. Otherwise
+    the status is 504 after a timeout and 502 for any other reason; neither states what was
+    executed.
     """
     match opened.route.target:
         case FanOut(record_count=record_count) if opened.has_enough:
@@ -22,9 +23,9 @@
         case FanOut():
             pass
         case _:
-            # A split route without any weight has no leg.
-            for leg in opened.subrequests:
-                found = leg.answer or leg.failed_answer
+            # A split route whose weights are all zero has no subrequest.
+            for subrequest in opened.subrequests:
+                found = subrequest.answer or subrequest.failed_answer
                 if found is not None:
                     return RelayedReply(found)
     if not opened.may_have_run:
@@ -34,7 +35,9 @@
 
 
 def _merge(opened: OpenRequest, record_count: int) -> MergedReply:
-    answers = [leg.answer for leg in opened.subrequests if leg.answer is not None]
+    answers = [
+        subrequest.answer for subrequest in opened.subrequests if subrequest.answer is not None
+    ]
     signatures = tuple(answer.signature for answer in answers if answer.signature)
     records = merge_greatest((answer.body for answer in answers), record_count)
     return MergedReply(signatures, len(opened.subrequests) - len(answers), records)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/forwarded_request.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/forwarded_request.py
@@ -1,5 +1,3 @@
-"""Define an opaque request."""
-
 from dataclasses import dataclass
 
 from xxhash import xxh3_64_intdigest
@@ -7,14 +5,15 @@
 
 @dataclass(slots=True)
 class ForwardedRequest:
-    """Hold a caller's request, which is passed on unchanged.
-
-    ``key`` is unique in this process; ``request_id`` is the caller's own and may repeat.
-    ``target`` is path and query as they were sent. ``headers`` leave out those of one
-    connection. Times are of the monotonic clock, in milliseconds; ``wait_ms`` is how long
-    the caller said it waits, and ``way_ms`` what the request's way has taken and the reply's
-    will take. ``goal_left_ms`` is when the reply has to leave and ``shards``
-    are those to ask, where a peer passed the request here.
+    """A caller's request, which is forwarded unchanged.
+
+    ``key`` is unique in this process, while ``request_id`` is set by the caller and may repeat.
+    ``target`` is the path and query as they were received. ``headers`` holds no hop-by-hop
+    headers. Times are in milliseconds of the monotonic clock. ``wait_ms`` is how long the caller
+    said that it waits. ``caller_rtt_ms`` is how long the request took from the caller to this
+    instance plus how long the reply will take back. Only requests that a peer delegated to this
+    instance have ``goal_left_ms``, the time from the arrival until the reply has to be sent, and
+    ``shards``, the shards to query.
     """
 
     key: int
@@ -33,11 +32,11 @@
 
     @property
     def fingerprint(self) -> int:
-        """Return a hash that repeats of the request share, whoever sends them."""
+        """Return a hash that is the same for each repeat of the request by any caller."""
         text = f"{self.method} {self.host} {self.target}\n".encode()
         return xxh3_64_intdigest(text + self.body)
 
     @property
     def is_delegated(self) -> bool:
-        """Return whether a peer passed it here."""
+        """Return whether a peer delegated the request to this instance."""
         return bool(self.shards)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/forwarder.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/forwarder.py
@@ -1,21 +1,19 @@
-"""Handle one event after another: event in, actions out."""
-
 from random import Random
 
 from geraniumlead.fleet import FleetView
 from geraniumlead.forwarding.actions import ForwardingAction, LogDecision, SendReply
-from geraniumlead.forwarding.closing import UNAVAILABLE
 from geraniumlead.forwarding.events import (
     AttemptEnded,
     CallerLeft,
     ForwardingEvent,
-    PeerHeard,
+    PeerMessageReceived,
     PublishedUpdates,
     ReplyWritten,
     RequestArrived,
     StoreLost,
     TimePassed,
 )
+from geraniumlead.forwarding.final_reply import UNAVAILABLE
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
 from geraniumlead.forwarding.peer_message_handler import PeerMessageHandler
 from geraniumlead.forwarding.published_state import PublishedState
@@ -30,16 +28,16 @@
 
 
 class Forwarder:
-    """Serve opaque requests as one instance.
+    """A state machine that forwards the opaque requests of one instance.
 
-    All input comes through ``handle``, with the time in milliseconds of a monotonic clock;
-    all output is the returned actions. Nothing here does I/O, reads a clock or uses global
-    randomness, so a run in virtual time is the program itself.
+    All input is passed to ``handle``, with the time in milliseconds of a monotonic clock, and all
+    output is returned as actions. The forwarder does no I/O, reads no clock and uses no global
+    random state, so a run in virtual time executes the same code as production.
     """
 
     __slots__ = (
         "_actions",
-        "_is_cut_off",
+        "_is_isolated",
         "_peers",
         "_retry_after",
         "_runner",
@@ -66,33 +64,33 @@
         self._peers = PeerMessageHandler(directory, self._runner, self.published, self._actions)
         self.store_watch = StoreWatch(directory, settings.data_centre, settings.regions)
         self.is_stopping = False
-        self._is_cut_off = False
+        self._is_isolated = False
 
     @property
     def is_ready(self) -> bool:
-        """Return what the balancer is told."""
-        return not self.is_stopping and self.published.can_serve and not self._is_cut_off
+        """Return whether the load balancer may send requests to this instance."""
+        return not self.is_stopping and self.published.can_serve and not self._is_isolated
 
     @property
     def open_requests(self) -> int:
-        """Return how many callers and peers wait for an answer."""
+        """Return the number of open requests of callers and peers."""
         return len(self._runner)
 
     def live_peers(self, now_ms: float) -> list[str]:
-        """Return the instances that were heard lately."""
+        """Return the instances of which a message was received recently."""
         return [peer.contact.instance_id for peer in self._peers.directory.live(now_ms)]
 
     def apply_settings(self, settings: ForwardingSettings) -> None:
-        """Take over changed settings; open requests go on."""
+        """Apply changed settings; open requests continue."""
         self._settings = settings
         self._runner.apply_settings(settings)
         self._peers.directory.set_seeds(settings.seeds)
 
     def handle(self, event: ForwardingEvent, now_ms: float) -> list[ForwardingAction]:
-        """Take in one event and return what follows from it, in order."""
+        """Handle an event and return the resulting actions in order."""
         match event:
             case RequestArrived(request=request):
-                self._take_request(request, now_ms)
+                self._handle_request(request, now_ms)
             case CallerLeft(key=key):
                 self._runner.drop(key, now_ms)
             case AttemptEnded(attempt_id=attempt_id, result=result):
@@ -101,20 +99,20 @@
                 self.published.take(event, now_ms)
             case StoreLost(detail=detail):
                 self.published.note_lost(detail, now_ms)
-            case PeerHeard(sender_id=sender_id, message=message):
+            case PeerMessageReceived(sender_id=sender_id, message=message):
                 self._peers.take(sender_id, message, now_ms, self.is_ready)
             case ReplyWritten(took_ms=took_ms):
-                self._runner.own_delay.note_written(took_ms, now_ms)
+                self._runner.own_delay.record_write(took_ms, now_ms)
             case TimePassed():
                 pass
         self.published.expire(now_ms)
         self._runner.wake(now_ms)
-        self._look_around(now_ms)
+        self._check_isolation(now_ms)
         self._peers.wake(now_ms, self.is_ready)
-        return self._take_actions()
+        return self._drain_actions()
 
     def next_wake_ms(self) -> float:
-        """Return when ``handle`` wants TimePassed, if nothing happens before."""
+        """Return when ``handle`` needs TimePassed, unless another event comes first."""
         return min(
             self._runner.next_wake_ms(),
             self.published.next_wake_ms(),
@@ -122,27 +120,27 @@
         )
 
     def stop(self, now_ms: float) -> list[ForwardingAction]:
-        """Stop taking new work; what is open goes on."""
+        """Become not ready and notify peers; open requests continue."""
         self.is_stopping = True
         self._peers.say_farewell(now_ms)
-        return self._take_actions()
+        return self._drain_actions()
 
     def end_all(self, now_ms: float) -> list[ForwardingAction]:
-        """Answer everything that is open, for the process is about to end."""
+        """End all open requests with a reply, because the process is about to exit."""
         self._runner.end_all(now_ms)
-        return self._take_actions()
+        return self._drain_actions()
 
-    def _look_around(self, now_ms: float) -> None:
-        """Notice when this instance is cut off from all upstreams, and when that ends."""
-        is_cut_off = self._runner.is_isolated(now_ms)
-        if is_cut_off != self._is_cut_off:
-            self._is_cut_off = is_cut_off
-            self._actions.append(LogDecision("cut_off", {"is_cut_off": is_cut_off}, "warning"))
+    def _check_isolation(self, now_ms: float) -> None:
+        """Detect and log when this instance is isolated from all upstreams, and when that ends."""
+        is_isolated = self._runner.is_isolated(now_ms)
+        if is_isolated != self._is_isolated:
+            self._is_isolated = is_isolated
+            self._actions.append(LogDecision("cut_off", {"is_cut_off": is_isolated}, "warning"))
 
-    def _take_request(self, request: ForwardedRequest, now_ms: float) -> None:
+    def _handle_request(self, request: ForwardedRequest, now_ms: float) -> None:
         configuration = self.published.configuration
         if configuration is None:
-            # A 404 would be believed, and the route may well exist.
+            # With a 404 the caller would conclude that the route does not exist, although it may.
             refusal = OwnReply(UNAVAILABLE, "no_configuration", self._retry_after.draw())
             self._refuse(request, refusal)
             return
@@ -164,8 +162,8 @@
         self._actions.append(LogDecision("request", fields, "warning"))
         self._actions.append(SendReply(request.key, reply))
 
-    def _take_actions(self) -> list[ForwardingAction]:
-        """Return what is to be done; replies to peers become letters."""
+    def _drain_actions(self) -> list[ForwardingAction]:
+        """Remove and return the pending actions, with replies to peers as addressed messages."""
         actions = [self._peers.route(action) for action in self._actions]
         self._actions.clear()
         return [action for action in actions if action is not None]
--- a/packages/geraniumlead/src/geraniumlead/forwarding/merge.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/merge.py
@@ -1,5 +1,3 @@
-"""Merge the records of several shards."""
-
 from collections.abc import Iterable
 
 RECORD_BYTES = 16
@@ -8,7 +6,7 @@
 def merge_greatest(bodies: Iterable[bytes], count: int) -> bytes:
     """Return the ``count`` greatest records of all bodies, greatest first.
 
-    Equal records all count; a rest shorter than a record is none.
+    Equal records are all kept; trailing bytes that are shorter than a record are ignored.
     """
     records = [
         body[start : start + RECORD_BYTES]
--- a/packages/geraniumlead/src/geraniumlead/forwarding/open_request.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/open_request.py
@@ -1,4 +1,4 @@
-"""Hold the state of one request that is being served."""
+"""The state of a request that is being served."""
 
 from dataclasses import dataclass, field
 
@@ -7,15 +7,16 @@
 from geraniumlead.forwarding.results import Completed
 from geraniumlead.routes import FanOut, PublishedConfiguration, Route
 
-MOST_NOTES = 40
-"""Steps of one request that are logged: two for each shard of today's indexes."""
+MAX_STEPS = 40
+"""Maximum number of logged steps of a request: two for each shard of an index with twenty."""
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One request that is out at an upstream.
+    """An open request to an upstream.
 
-    ``way_ms`` is the time of its way there and back, ``second_way_ms`` that of the next best.
+    ``relative_rtt_ms`` is the relative RTT to the upstream's data centre and
+    ``second_relative_rtt_ms`` that to the nearest of the other upstreams.
     """
 
     attempt_id: int
@@ -29,10 +30,11 @@
 
 @dataclass(slots=True)
 class Subrequest:
-    """The part of a request that goes to one service: all of it, or one shard.
+    """The part of a request that goes to one service: the whole request, or one shard.
 
-    ``sent_to`` holds an entry for each sending that may have arrived, also those of a peer;
-    None stands for one that the peer did not name. ``is_delegated`` says that a peer asks it.
+    ``sent_to`` holds an entry for each attempt that may have arrived, including the attempts of a
+    peer; None stands for an attempt whose upstream the peer did not name. ``is_delegated`` is set
+    while a peer is responsible for the subrequest.
     """
 
     request: "OpenRequest"
@@ -50,17 +52,17 @@
 
     @property
     def is_settled(self) -> bool:
-        """Return whether nothing more will come of it."""
+        """Return whether the subrequest has been answered or has failed."""
         return self.answer is not None or self.failure is not None
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request on its way. Its legs all belong to the configuration version it began with.
+    """A request that is being served with the configuration version it started with.
 
-    ``goal_ms`` is when the reply should leave; the caller has it in time up to ``margin_ms``
-    later. ``view_age_ms`` is how old what is known of upstreams and routes was at the start.
-    ``is_shared`` says that the peer it came from asks the shards as well.
+    ``goal_ms`` is when the reply should be sent; up to ``margin_ms`` later it still reaches the
+    caller in time. ``view_age_ms`` is how old the data about upstreams and routes was at the
+    start. ``is_shared`` is set if the peer that delegated the request queries its shards as well.
     """
 
     request: ForwardedRequest
@@ -71,80 +73,87 @@
     margin_ms: float = 0.0
     view_age_ms: float | None = None
     subrequests: list[Subrequest] = field(default_factory=list)
-    check_ms: float = float("inf")
+    next_check_ms: float = float("inf")
     settled: int = 0
     answered: int = 0
     extra_attempts: int = 0
     delegations: set[int] = field(default_factory=set)
     is_reported: bool = False
     is_shared: bool = False
-    notes: list[dict] = field(default_factory=list)
+    steps: list[dict] = field(default_factory=list)
 
     @property
     def is_fan_out(self) -> bool:
-        """Return whether it goes to all shards of an index."""
+        """Return whether the request goes to all shards of an index."""
         return isinstance(self.route.target, FanOut)
 
     @property
-    def least_answers(self) -> int:
-        """Return how many legs have to be answered for a success."""
+    def min_answers(self) -> int:
+        """Return how many subrequests have to be answered for a success."""
         if self.request.is_delegated:
-            # Whether it is enough is for the peer to say, which has the other shards.
+            # The peer that has the other shards decides whether the answers are enough.
             return 0
         match self.route.target:
             case FanOut(shards=shards, least_share=least_share):
-                return max(1, least_count(len(shards), least_share))
+                return max(1, min_shard_count(len(shards), least_share))
         return 1
 
     @property
     def has_enough(self) -> bool:
-        """Return whether it may be answered with what is in."""
-        return self.answered >= self.least_answers
+        """Return whether enough subrequests are answered for a reply."""
+        return self.answered >= self.min_answers
 
     @property
-    def is_hopeless(self) -> bool:
-        """Return whether too many legs failed."""
+    def cannot_succeed(self) -> bool:
+        """Return whether too many subrequests have failed for a success."""
         possible = len(self.subrequests) - (self.settled - self.answered)
-        return possible < self.least_answers
+        return possible < self.min_answers
 
     @property
     def first_failure(self) -> str:
-        """Return why the first of the failed legs failed."""
+        """Return why the first of the failed subrequests failed."""
         return next(
-            (leg.failure for leg in self.subrequests if leg.failure is not None), "unanswered"
+            (
+                subrequest.failure
+                for subrequest in self.subrequests
+                if subrequest.failure is not None
+            ),
+            "unanswered",
         )
 
-    def settle_answered(self, leg: Subrequest, answer: Completed) -> None:
-        """Take over a leg's answer, in place of any that it has."""
-        if not leg.is_settled:
+    def settle_answered(self, subrequest: Subrequest, answer: Completed) -> None:
+        """Set or replace the answer of a subrequest."""
+        if not subrequest.is_settled:
             self.settled += 1
-        if leg.answer is None:
+        if subrequest.answer is None:
             self.answered += 1
-        leg.answer, leg.failure = answer, None
+        subrequest.answer, subrequest.failure = answer, None
 
-    def settle_failed(self, leg: Subrequest, why: str, now_ms: float) -> None:
-        """Give a leg up."""
-        leg.failure = why
+    def settle_failed(self, subrequest: Subrequest, why: str, now_ms: float) -> None:
+        """Mark a subrequest as failed."""
+        subrequest.failure = why
         self.settled += 1
-        self.note(leg, None, why, now_ms)
+        self.record_step(subrequest, None, why, now_ms)
 
-    def note(self, leg: Subrequest, upstream_id: str | None, what: str, now_ms: float) -> None:
-        """Remember a step that was out of the ordinary, for the log."""
-        if len(self.notes) >= MOST_NOTES:
+    def record_step(
+        self, subrequest: Subrequest, upstream_id: str | None, what: str, now_ms: float
+    ) -> None:
+        """Record an unusual step for the log line of the request."""
+        if len(self.steps) >= MAX_STEPS:
             return
         at_ms = round(now_ms - self.request.arrived_ms, 1)
-        self.notes.append(
-            {"at_ms": at_ms, "service": leg.service, "upstream": upstream_id, "what": what}
+        self.steps.append(
+            {"at_ms": at_ms, "service": subrequest.service, "upstream": upstream_id, "what": what}
         )
 
     @property
     def may_have_run(self) -> bool:
-        """Return whether any upstream may have run any part of it."""
-        return any(leg.may_have_run for leg in self.subrequests)
+        """Return whether any upstream may have executed any subrequest."""
+        return any(subrequest.may_have_run for subrequest in self.subrequests)
 
 
-def least_count(shards: int, least_share: float) -> int:
-    """Return the smallest number of shards whose share is not below ``least_share``."""
+def min_shard_count(shards: int, least_share: float) -> int:
+    """Return the smallest number of shards that is at least ``least_share`` of all."""
     count = int(shards * least_share)
     while count / shards < least_share:
         count += 1
--- a/packages/geraniumlead/src/geraniumlead/forwarding/own_delay.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/own_delay.py
@@ -1,59 +1,59 @@
-"""Learn how much of a goal this instance's own work takes."""
+"""Estimate how much of a latency goal the work of this instance takes."""
 
 from collections import deque
 
-LEAST_MARGIN_MS = 5.5
-"""Left of the goal whatever was seen: the loop is seldom busy for longer."""
+MIN_MARGIN_MS = 5.5
+"""Minimum margin before the goal: the event loop is rarely busy for longer."""
 
-PART_MARGIN_MS = 0.08
-"""Left of the goal for each part of a query, besides: half a kilobyte takes a fifth of a
-millisecond on a link of 20 Mbit/s, and a third of a query's parts come from here. What
-waits in the link's queue is not seen from inside the process."""
+SUBREQUEST_MARGIN_MS = 0.08
+"""Additional margin for each subrequest of a query. Half a kilobyte takes a fifth of a millisecond
+on a link of 20 Mbit/s, and this instance sends a third of a query's subrequests. Data in the queue
+of the link can't be observed from inside the process."""
 
-MOST_MARGIN_GOAL_SHARE = 0.25
-"""Part of the goal that is kept at the most; shards that come in the rest are worth more than
-the few replies that are still late."""
+MAX_MARGIN_GOAL_SHARE = 0.25
+"""Maximum margin as a share of the goal. The answers of shards that arrive in the remaining time
+are worth more than the few replies that are still late."""
 
-DELAY_SHARE = 0.95
-"""Share of the delays that the margin covers."""
+DELAY_QUANTILE = 0.95
+"""Quantile of the delays that the margin covers."""
 
-LEAST_SAMPLES = 8
-"""Delays after which a quantile is believed."""
+MIN_SAMPLES = 8
+"""Minimum number of delays for a reliable quantile."""
 
-MOST_SAMPLES = 64
-LONGEST_AGE_MS = 10_000.0
-"""Delays that count: those of some ten to sixty queries, none from before a change of load."""
+MAX_SAMPLES = 64
+MAX_AGE_MS = 10_000.0
+"""Bounds of the samples: they span some ten to sixty queries and none from before a load change."""
 
 
 class DelaySamples:
-    """Keep the newest delays of one kind."""
+    """The most recent delays of one kind."""
 
     __slots__ = ("_delays",)
 
     def __init__(self) -> None:
-        self._delays: deque[tuple[float, float]] = deque(maxlen=MOST_SAMPLES)
+        self._delays: deque[tuple[float, float]] = deque(maxlen=MAX_SAMPLES)
 
-    def note(self, delay_ms: float, now_ms: float) -> None:
+    def record(self, delay_ms: float, now_ms: float) -> None:
         """Add a delay."""
         self._delays.append((now_ms, delay_ms))
 
-    def high_ms(self, now_ms: float) -> float:
-        """Return the delay that DELAY_SHARE of them stay below; 0 while too few are known."""
-        while self._delays and now_ms - self._delays[0][0] > LONGEST_AGE_MS:
+    def quantile_ms(self, now_ms: float) -> float:
+        """Return the DELAY_QUANTILE of the delays; 0 while there are too few."""
+        while self._delays and now_ms - self._delays[0][0] > MAX_AGE_MS:
             self._delays.popleft()
-        if len(self._delays) < LEAST_SAMPLES:
+        if len(self._delays) < MIN_SAMPLES:
             return 0.0
         ordered = sorted(delay_ms for _, delay_ms in self._delays)
-        return ordered[int(DELAY_SHARE * (len(ordered) - 1))]
+        return ordered[int(DELAY_QUANTILE * (len(ordered) - 1))]
 
 
 class OwnDelay:
-    """Keep how late timers fire, and how long a reply takes from its decision to the socket.
+    """Delays of timers, and of replies between their decision and the write to the socket.
 
-    Load pattern: a small or slowed machine serves queries over a hundred shards. The timer at
-    the goal waits behind a burst of answers, and merging and writing take some more. With a
-    fixed margin such replies left some milliseconds after the goal, nearly worthless, though
-    nearly all shards were in before it.
+    Load pattern: a small or slowed-down machine serves queries over a hundred shards. The timer at
+    the goal has to wait for a burst of answers to be processed, and merging and writing take more
+    time. With a fixed margin such replies were sent some milliseconds after the goal and were
+    nearly worthless, although nearly all shards had answered before it.
     """
 
     __slots__ = ("_timers", "_writing")
@@ -62,16 +62,16 @@
         self._timers = DelaySamples()
         self._writing = DelaySamples()
 
-    def note_timer(self, late_ms: float, now_ms: float) -> None:
-        """Learn how late a timer fired."""
-        self._timers.note(late_ms, now_ms)
+    def record_timer(self, late_ms: float, now_ms: float) -> None:
+        """Record how late a timer fired."""
+        self._timers.record(late_ms, now_ms)
 
-    def note_written(self, took_ms: float, now_ms: float) -> None:
-        """Learn how long a reply took from its decision until it was written."""
-        self._writing.note(took_ms, now_ms)
+    def record_write(self, took_ms: float, now_ms: float) -> None:
+        """Record how long a reply took from its decision until it was written."""
+        self._writing.record(took_ms, now_ms)
 
-    def margin_ms(self, goal_ms: float, parts: int, now_ms: float) -> float:
-        """Return what to leave of a goal of ``goal_ms`` for a query of so many parts."""
-        delay_ms = self._timers.high_ms(now_ms) + self._writing.high_ms(now_ms)
-        margin_ms = max(LEAST_MARGIN_MS, delay_ms) + PART_MARGIN_MS * parts
-        return min(margin_ms, MOST_MARGIN_GOAL_SHARE * goal_ms)
+    def margin_ms(self, goal_ms: float, subrequest_count: int, now_ms: float) -> float:
+        """Return how long before its goal the reply of a request has to be sent."""
+        delay_ms = self._timers.quantile_ms(now_ms) + self._writing.quantile_ms(now_ms)
+        margin_ms = max(MIN_MARGIN_MS, delay_ms) + SUBREQUEST_MARGIN_MS * subrequest_count
+        return min(margin_ms, MAX_MARGIN_GOAL_SHARE * goal_ms)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
@@ -67,7 +67,7 @@
                 self.directory.note_response(sender_id)
                 delegation = self._runner.delegated.delegations.take_reply(number, message, now_ms)
                 if delegation is not None:
-                    self._runner.take_delegated(delegation, message, now_ms)
+                    self._runner.handle_delegated_reply(delegation, message, now_ms)
             case CrashNotice(fingerprint=fingerprint, upstream_ids=upstream_ids):
                 self._runner.crashes.hear(fingerprint, upstream_ids, now_ms)
             case DelegationCancelled() | DelegationShared():
@@ -85,9 +85,9 @@
             }
             self._actions.append(LogDecision("peer_silent", fields, "warning"))
             if delegation.lateness is Lateness.GIVEN_UP:
-                self._runner.take_back(delegation, "peer silent", now_ms)
+                self._runner.retry_delegated(delegation, "peer silent", now_ms)
             else:
-                self._runner.ask_beside(delegation, now_ms)
+                self._runner.hedge_delegated(delegation, now_ms)
         for fingerprint, upstream_ids in self._runner.crashes.take_told().items():
             notice = CrashNotice(fingerprint, upstream_ids)
             for peer in self.directory.live(now_ms)[:MOST_TOLD]:
@@ -140,7 +140,7 @@
             case DelegationShared(number=number):
                 key = desk.find_key(sender_id, number)
                 if key is not None:
-                    self._runner.note_shared(key)
+                    self._runner.mark_shared(key)
 
     def _count_instances(self, now_ms: float) -> None:
         count = self.directory.count(now_ms)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/replies.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/replies.py
@@ -1,4 +1,4 @@
-"""Define what a caller gets."""
+"""Replies to callers."""
 
 from dataclasses import dataclass
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedReply:
-    """Pass an upstream's answer on as it is."""
+    """An upstream's answer, relayed unchanged."""
 
     answer: Completed
 
 
 @dataclass(frozen=True, slots=True)
 class MergedReply:
-    """Answer with the greatest records of the parts; ``missing`` counts shards left out."""
+    """The greatest records of all shards; ``missing`` counts the shards without an answer."""
 
     signatures: tuple[str, ...]
     missing: int
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnReply:
-    """Answer with a status of this instance.
+    """A reply with a status that this instance determined.
 
-    503 and 429 promise that the request did not run and never will; ``retry_after_ms``
-    tells when to come back.
+    503 and 429 guarantee that the request was not executed and never will be. After
+    ``retry_after_ms`` the caller may retry.
     """
 
     status: int
--- a/packages/geraniumlead/src/geraniumlead/forwarding/request_line.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/request_log.py
@@ -1,4 +1,4 @@
-"""Tell the story of a request in one line of the log."""
+"""The log line of a finished request."""
 
 from geraniumlead.forwarding.open_request import OpenRequest
 from geraniumlead.forwarding.replies import MergedReply, OwnReply, RelayedReply, Reply
@@ -7,7 +7,7 @@
 def describe_request(
     opened: OpenRequest, reason: str, reply: Reply | None, now_ms: float
 ) -> tuple[dict, str]:
-    """Return the fields of a request's line, and its level."""
+    """Return the fields and the level of the log line of a request."""
     request = opened.request
     fields = {
         "request_id": request.request_id,
@@ -21,9 +21,9 @@
         "legs": len(opened.subrequests),
         "answered": opened.answered,
         "extra": opened.extra_attempts,
-        "steps": opened.notes,
+        "steps": opened.steps,
     }
-    missing = [leg.service for leg in opened.subrequests if leg.answer is None]
+    missing = [subrequest.service for subrequest in opened.subrequests if subrequest.answer is None]
     if missing:
         fields["missing"] = missing
     match reply:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
@@ -1,27 +1,25 @@
-"""Run requests: send, send again, and end each with one reply."""
-
 from collections.abc import Sequence
 from random import Random
 
 from geraniumlead.fleet import FleetView
 from geraniumlead.forwarding.actions import ForwardingAction, LogDecision, SendReply
 from geraniumlead.forwarding.attempt_tracker import AttemptTracker
-from geraniumlead.forwarding.closing import decide_reply
 from geraniumlead.forwarding.crash_refusal import refuse_crashing
 from geraniumlead.forwarding.crash_tracker import CrashTracker
 from geraniumlead.forwarding.delegated_subrequests import DelegatedSubrequests
 from geraniumlead.forwarding.delegation_plan import DelegationPlan
 from geraniumlead.forwarding.delegations import Delegation
+from geraniumlead.forwarding.final_reply import decide_reply
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
 from geraniumlead.forwarding.open_request import OpenRequest, Subrequest
 from geraniumlead.forwarding.own_delay import OwnDelay
-from geraniumlead.forwarding.request_line import describe_request
+from geraniumlead.forwarding.request_log import describe_request
 from geraniumlead.forwarding.request_services import RequestServices
 from geraniumlead.forwarding.results import AttemptResult
 from geraniumlead.forwarding.retry_after import RetryAfter
 from geraniumlead.forwarding.subrequest_sender import SubrequestSender
 from geraniumlead.forwarding.upstream_chooser import UpstreamChooser
-from geraniumlead.forwarding.waiting_subrequests import LONGEST_WAIT_GOAL_SHARE
+from geraniumlead.forwarding.waiting_subrequests import MAX_WAIT_GOAL_SHARE
 from geraniumlead.forwarding.wake_times import NEVER_MS, WakeTimes
 from geraniumlead.peering import DelegatedReply, PeerDirectory
 from geraniumlead.routes import PublishedConfiguration, Route
@@ -29,21 +27,21 @@
 
 
 class RequestRunner:
-    """Hold the open requests of this instance.
+    """The open requests of this instance, each of which ends with exactly one reply.
 
-    This is the one layer that sends again, so that tries never multiply. A request that may
-    have run is never said not to have run, and one that must not be repeated is sent again
-    only after an answer that it was not executed.
+    This is the only layer that retries, so that the attempts of several layers never multiply. A
+    request that may have been executed is never reported as not executed. A request that is not
+    idempotent is sent again only if it certainly was not executed.
     """
 
     __slots__ = (
         "_actions",
-        "_book",
         "_fleet",
-        "_legs",
         "_open",
         "_retry_after",
+        "_sender",
         "_services",
+        "_tracker",
         "_wakes",
         "crashes",
         "delegated",
@@ -62,11 +60,11 @@
         self._retry_after = retry_after
         self._actions = actions
         self._fleet = fleet
-        self._book = AttemptTracker(settings, fleet, random, actions)
+        self._tracker = AttemptTracker(settings, fleet, random, actions)
         self.crashes = CrashTracker()
-        self._legs = SubrequestSender(self._book, self.crashes)
+        self._sender = SubrequestSender(self._tracker, self.crashes)
         plan = DelegationPlan(settings, fleet, directory, random)
-        self.delegated = DelegatedSubrequests(plan, self._legs, actions, directory.own_contact)
+        self.delegated = DelegatedSubrequests(plan, self._sender, actions, directory.own_contact)
         self._open: dict[int, OpenRequest] = {}
         self._wakes = WakeTimes()
         self._services = RequestServices(random)
@@ -78,22 +76,22 @@
 
     @property
     def chooser(self) -> UpstreamChooser:
-        """Return what chooses upstreams."""
-        return self._book.chooser
+        """Return the chooser of upstreams."""
+        return self._tracker.chooser
 
     def is_isolated(self, now_ms: float) -> bool:
-        """Return whether this instance is cut off from all upstreams."""
-        return self._book.isolation.is_isolated(now_ms)
+        """Return whether this instance is isolated from all upstreams."""
+        return self._tracker.isolation.is_isolated(now_ms)
 
     def set_instances(self, count: int, live: Sequence[str]) -> None:
-        """Take over how many instances share the limits of the fleet, and who lives of them."""
-        self._book.chooser.set_instances(count, live)
-        self._book.budgets.set_instances(count)
+        """Set the number of instances that share the fleet's limits, and the live instances."""
+        self._tracker.chooser.set_instances(count, live)
+        self._tracker.budgets.set_instances(count)
 
     def apply_settings(self, settings: ForwardingSettings) -> None:
-        """Take over changed settings."""
-        self._book.budgets.apply_settings(settings)
-        self._book.chooser.apply_settings(settings)
+        """Apply changed settings."""
+        self._tracker.budgets.apply_settings(settings)
+        self._tracker.chooser.apply_settings(settings)
 
     def start(
         self,
@@ -102,105 +100,107 @@
         configuration: PublishedConfiguration,
         now_ms: float,
     ) -> None:
-        """Send a request to one upstream of each of its services."""
+        """Send a request to one upstream of each of its services, or refuse it."""
         if not request.is_delegated and self._is_crashing(request, now_ms):
             self._actions += refuse_crashing(request, route)
             return
         services = self._services.of_request(request, route)
         margin_ms = self.own_delay.margin_ms(route.latency_goal_ms, len(services), now_ms)
-        goal_ms, end_ms = self._book.clock.times_of(request, route, margin_ms)
+        goal_ms, end_ms = self._tracker.lateness.deadlines_of(request, route, margin_ms)
         view_age_ms = self._fleet.age_ms(now_ms)
         opened = OpenRequest(request, route, configuration, goal_ms, end_ms, margin_ms, view_age_ms)
         opened.subrequests = [Subrequest(opened, service) for service in services]
         self._open[request.key] = opened
-        chosen = self._legs.choose_all(opened, now_ms)
-        if opened.is_hopeless:
-            self._legs.record_first(opened, now_ms)
-            # Known before anything is sent, so this refusal is true and early.
+        chosen = self._sender.choose_upstreams(opened, now_ms)
+        if opened.cannot_succeed:
+            self._sender.record_first(opened, now_ms)
+            # Nothing has been sent, so the caller can be told that nothing was executed.
             self._finish(opened, "no_upstream", now_ms)
             return
-        if not request.is_delegated and self._book.isolation.is_useless(now_ms):
+        if not request.is_delegated and self._tracker.isolation.is_useless(now_ms):
             self._finish(opened, "unreachable", now_ms)
             return
         chosen = self.delegated.pass_on(opened, chosen, now_ms)
-        self._legs.record_first(opened, now_ms)
-        for leg, upstream in chosen:
-            self._book.send(leg, upstream, now_ms)
-        self._go_on(opened, now_ms)
+        self._sender.record_first(opened, now_ms)
+        for subrequest, upstream in chosen:
+            self._tracker.send(subrequest, upstream, now_ms)
+        self._finish_or_schedule(opened, now_ms)
 
     def _is_crashing(self, request: ForwardedRequest, now_ms: float) -> bool:
         return bool(self.crashes) and self.crashes.is_refused(request.fingerprint, now_ms)
 
-    def take_delegated(self, delegation: Delegation, reply: DelegatedReply, now_ms: float) -> None:
-        """Take in what a peer brought for the shards that it was asked to ask."""
+    def handle_delegated_reply(
+        self, delegation: Delegation, reply: DelegatedReply, now_ms: float
+    ) -> None:
+        """Handle a peer's reply to the shards that were delegated to it."""
         self.delegated.take_reply(delegation, reply, now_ms)
-        self._go_on(delegation.opened, now_ms)
+        self._finish_or_schedule(delegation.opened, now_ms)
 
-    def ask_beside(self, delegation: Delegation, now_ms: float) -> None:
-        """Ask shards from here as well of which a peer has not said that it asks them."""
+    def hedge_delegated(self, delegation: Delegation, now_ms: float) -> None:
+        """Hedge the shards of a delegation whose peer is late."""
         self.delegated.ask_beside(delegation, now_ms)
-        self._go_on(delegation.opened, now_ms)
+        self._finish_or_schedule(delegation.opened, now_ms)
 
-    def take_back(self, delegation: Delegation, why: str, now_ms: float) -> None:
-        """Ask the shards from here of which a peer said nothing."""
+    def retry_delegated(self, delegation: Delegation, why: str, now_ms: float) -> None:
+        """Query the shards of a delegation that was given up from this instance."""
         self.delegated.take_back(delegation, why, now_ms)
-        self._go_on(delegation.opened, now_ms)
+        self._finish_or_schedule(delegation.opened, now_ms)
 
     def finish_attempt(self, attempt_id: int, result: AttemptResult, now_ms: float) -> None:
-        """Take in the end of an attempt; one that nobody waits for is dropped."""
-        attempt = self._book.take(attempt_id, result, now_ms)
+        """Handle the result of an attempt; the result of a cancelled one is ignored."""
+        attempt = self._tracker.finish(attempt_id, result, now_ms)
         if attempt is None:
             return
-        leg = attempt.subrequest
-        if not leg.is_settled:
-            self._legs.take_result(attempt, result, now_ms)
-        if not self._finish_if_done(leg.request, now_ms):
-            self._arm_leg(leg, now_ms)
-        self._send_waiting(leg.service, now_ms)
-
-    def note_shared(self, key: int) -> None:
-        """Note that the sender of a peer's request asks its shards as well."""
+        subrequest = attempt.subrequest
+        if not subrequest.is_settled:
+            self._sender.handle_result(attempt, result, now_ms)
+        if not self._finish_if_done(subrequest.request, now_ms):
+            self._schedule_subrequest_check(subrequest, now_ms)
+        self._send_waiting(subrequest.service, now_ms)
+
+    def mark_shared(self, key: int) -> None:
+        """Record that the peer that delegated a request queries its shards as well."""
         opened = self._open.get(key)
         if opened is not None:
             opened.is_shared = True
 
     def drop(self, key: int, now_ms: float) -> None:
-        """Forget a request whose caller left, and stop all work for it."""
+        """Remove a request whose caller disconnected, and cancel all work for it."""
         opened = self._open.pop(key, None)
         if opened is not None:
             self._cancel_all(opened, now_ms)
             self._log(opened, "caller_left", None, now_ms)
 
     def wake(self, now_ms: float) -> None:
-        """Look after the requests whose time has come."""
-        while (due := self._wakes.take_due(now_ms)) is not None:
+        """Check the requests whose next check is due."""
+        while (due := self._wakes.pop_due(now_ms)) is not None:
             due_ms, key = due
             opened = self._open.get(key)
-            if opened is not None and opened.check_ms == due_ms:
-                opened.check_ms = NEVER_MS
-                self.own_delay.note_timer(now_ms - due_ms, now_ms)
+            if opened is not None and opened.next_check_ms == due_ms:
+                opened.next_check_ms = NEVER_MS
+                self.own_delay.record_timer(now_ms - due_ms, now_ms)
                 self._check(opened, now_ms)
 
     def next_wake_ms(self) -> float:
-        """Return the earliest time at which ``wake`` has something to do."""
+        """Return when ``wake`` has to be called next."""
         return self._wakes.next_ms()
 
     def end_all(self, now_ms: float) -> None:
-        """Give every open request its last answer."""
+        """End every open request with a reply."""
         for opened in list(self._open.values()):
             self._finish(opened, "stopping", now_ms)
 
-    def _go_on(self, opened: OpenRequest, now_ms: float) -> None:
-        """End a request if that is due, else set the time of its next look."""
+    def _finish_or_schedule(self, opened: OpenRequest, now_ms: float) -> None:
+        """End a request if it is complete or has failed, else schedule its next check."""
         if not self._finish_if_done(opened, now_ms):
-            self._arm(opened, now_ms)
+            self._schedule_check(opened, now_ms)
 
     def _send_waiting(self, service: str, now_ms: float) -> None:
-        for leg in self._legs.send_waiting(service, now_ms):
-            self._arm_leg(leg, now_ms)
+        for subrequest in self._sender.send_waiting(service, now_ms):
+            self._schedule_subrequest_check(subrequest, now_ms)
 
     def _check(self, opened: OpenRequest, now_ms: float) -> None:
-        """End a request whose time is over, and repeat what is late."""
+        """End a request that has timed out, or hedge its late subrequests."""
         if now_ms >= opened.end_ms:
             self._finish(opened, "timeout", now_ms)
             return
@@ -210,50 +210,50 @@
             self._finish(opened, "no_place", now_ms)
             return
         if opened.route.is_idempotent:
-            self._legs.repeat_late(opened, now_ms)
-        self._arm(opened, now_ms)
+            self._sender.hedge_late(opened, now_ms)
+        self._schedule_check(opened, now_ms)
 
     def _wait_end_ms(self, opened: OpenRequest) -> float:
-        """Return when a request of which nothing was sent yet is refused."""
+        """Return when a request is refused of which nothing has been sent yet."""
         if opened.may_have_run or opened.delegations:
             return NEVER_MS
-        if not any(leg.is_waiting for leg in opened.subrequests):
+        if not any(subrequest.is_waiting for subrequest in opened.subrequests):
             return NEVER_MS
-        if any(leg.open_attempts for leg in opened.subrequests):
+        if any(subrequest.open_attempts for subrequest in opened.subrequests):
             return NEVER_MS
         goal_ms = opened.route.latency_goal_ms
-        return opened.request.arrived_ms + LONGEST_WAIT_GOAL_SHARE * goal_ms
+        return opened.request.arrived_ms + MAX_WAIT_GOAL_SHARE * goal_ms
 
-    def _arm(self, opened: OpenRequest, now_ms: float) -> None:
-        """Set the next time at which the request is looked after."""
+    def _schedule_check(self, opened: OpenRequest, now_ms: float) -> None:
+        """Schedule the next check of a request."""
         due_ms = min(opened.end_ms, self._wait_end_ms(opened))
         if opened.is_fan_out and opened.goal_ms > now_ms:
             due_ms = min(due_ms, opened.goal_ms)
         if opened.route.is_idempotent:
-            due_ms = min(due_ms, self._legs.next_late_ms(opened, now_ms))
-        self._look_at(opened, due_ms)
+            due_ms = min(due_ms, self._sender.next_late_ms(opened, now_ms))
+        self._set_next_check(opened, due_ms)
 
-    def _arm_leg(self, leg: Subrequest, now_ms: float) -> None:
-        """Set the time of the next look no later than one leg needs it.
+    def _schedule_subrequest_check(self, subrequest: Subrequest, now_ms: float) -> None:
+        """Schedule the next check of a request no later than one subrequest needs it.
 
-        Failure: each answer of a query over 135 shards set the time anew from all its legs,
-        which took 40 ms of the processor, a third of the goal. The other legs are no sooner
-        late than before; a look that comes too early finds nothing to do.
+        Failure: each answer of a query over 135 shards recomputed the time from all subrequests,
+        which took 40 ms of CPU time, a third of the goal. The other subrequests don't become late
+        earlier than before, and a check that comes too early finds nothing to do.
         """
-        opened = leg.request
+        opened = subrequest.request
         due_ms = self._wait_end_ms(opened)
         if opened.route.is_idempotent:
-            due_ms = min(due_ms, self._legs.late_at_ms(leg, now_ms))
-        if due_ms < opened.check_ms:
-            self._look_at(opened, due_ms)
+            due_ms = min(due_ms, self._sender.late_at_ms(subrequest, now_ms))
+        if due_ms < opened.next_check_ms:
+            self._set_next_check(opened, due_ms)
 
-    def _look_at(self, opened: OpenRequest, due_ms: float) -> None:
-        if due_ms != opened.check_ms:
-            opened.check_ms = due_ms
+    def _set_next_check(self, opened: OpenRequest, due_ms: float) -> None:
+        if due_ms != opened.next_check_ms:
+            opened.next_check_ms = due_ms
             self._wakes.add(due_ms, opened.request.key)
 
     def _finish_if_done(self, opened: OpenRequest, now_ms: float) -> bool:
-        """End a request that needs no further answer, or can't get enough of them."""
+        """End a request that needs no more answers, or can't get enough of them."""
         if opened.request.key not in self._open:
             return True
         is_over_goal = opened.is_fan_out and now_ms >= opened.goal_ms
@@ -267,16 +267,16 @@
         if opened.settled == len(opened.subrequests) or (is_over_goal and opened.has_enough):
             self._finish(opened, "answered" if opened.has_enough else opened.first_failure, now_ms)
             return True
-        if opened.is_hopeless:
+        if opened.cannot_succeed:
             self._finish(opened, opened.first_failure, now_ms)
             return True
         return False
 
     def _finish(self, opened: OpenRequest, reason: str, now_ms: float) -> None:
         del self._open[opened.request.key]
-        # What is still out at the end may have run, so it is no longer "not run".
-        for leg in opened.subrequests:
-            leg.may_have_run = leg.may_have_run or bool(leg.open_attempts)
+        # Attempts that are still open at the end may have been executed.
+        for subrequest in opened.subrequests:
+            subrequest.may_have_run = subrequest.may_have_run or bool(subrequest.open_attempts)
         self._cancel_all(opened, now_ms)
         if opened.request.is_delegated:
             sender_id = self.delegated.reply(opened)
@@ -289,7 +289,7 @@
         self._log(opened, reason, reply, now_ms)
 
     def _cancel_all(self, opened: OpenRequest, now_ms: float) -> None:
-        for service in self._legs.cancel(opened, now_ms):
+        for service in self._sender.cancel(opened, now_ms):
             self._send_waiting(service, now_ms)
         self.delegated.cancel(opened)
 
--- a/packages/geraniumlead/src/geraniumlead/forwarding/request_services.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/request_services.py
@@ -1,5 +1,3 @@
-"""Say which services a request goes to."""
-
 from random import Random
 
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
@@ -7,7 +5,7 @@
 
 
 class RequestServices:
-    """Turn the target of a route into the services of one request."""
+    """A resolver of a route's target to the services of one request."""
 
     __slots__ = ("_random", "_splits")
 
@@ -16,7 +14,7 @@
         self._splits: dict[str, SplitChooser] = {}
 
     def of_request(self, request: ForwardedRequest, route: Route) -> tuple[str, ...]:
-        """Return the services; a split route spends one turn."""
+        """Return the services; a split route advances its weighted choice by one."""
         if request.is_delegated:
             return request.shards
         match route.target:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/results.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/results.py
@@ -1,11 +1,11 @@
-"""Define how one attempt at an upstream may end."""
+"""Results of an attempt at an upstream."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """The upstream gave its whole answer to this request."""
+    """The upstream returned a complete answer to the request."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -14,35 +14,35 @@
 
     @property
     def is_success(self) -> bool:
-        """Return whether it is a 2xx that the upstream signed."""
+        """Return whether the status is 2xx and the answer carries the upstream's signature."""
         return 200 <= self.status < 300 and self.signature is not None
 
 
 @dataclass(frozen=True, slots=True)
 class NotExecuted:
-    """The upstream said that it did not run the request and never will."""
+    """The upstream stated that it did not execute the request and never will."""
 
     status: int
     is_other_upstream: bool = False
-    """Another upstream answered at this address."""
+    """Whether a different upstream answered at this address."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotReached:
-    """No connection came about, so nothing was sent."""
+    """No connection was established, so nothing was sent."""
 
     detail: str
     is_timeout: bool = False
-    """Nobody answered at all, where a machine that lives refuses at once."""
+    """Whether the connection attempt got no response; a running machine would refuse at once."""
 
 
 @dataclass(frozen=True, slots=True)
 class PossiblyExecuted:
-    """Something was sent and no whole answer came back: it may have run."""
+    """The request was sent, but no complete answer came back, so it may have been executed."""
 
     detail: str
     is_connection_lost: bool = False
-    """The upstream may have crashed."""
+    """Whether the connection was lost, so that the upstream may have crashed."""
 
 
 AttemptResult = Completed | NotExecuted | NotReached | PossiblyExecuted
--- a/packages/geraniumlead/src/geraniumlead/forwarding/retry_after.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/retry_after.py
@@ -1,16 +1,14 @@
-"""Say when a refused caller may come back."""
-
 from random import Random
 
-FIRST_MS = 150.0
+MIN_MS = 150.0
 SPREAD_MS = 350.0
-"""Refused callers return over a third of a second: room in an upstream's queue comes within
-some tens of milliseconds, another upstream within some seconds, and callers who all return at
-once would find the same queue."""
+"""Refused callers retry spread over a third of a second. An upstream's queue has room again within
+some tens of milliseconds, and another upstream is available within some seconds. Callers that all
+retried at once would meet the same full queue."""
 
 
 class RetryAfter:
-    """Draw the time after which a refused caller may return."""
+    """A source of random delays after which refused callers may retry."""
 
     __slots__ = ("_random",)
 
@@ -18,5 +16,5 @@
         self._random = random
 
     def draw(self) -> float:
-        """Return a time in milliseconds."""
-        return FIRST_MS + SPREAD_MS * self._random.random()
+        """Return a random delay in milliseconds."""
+        return MIN_MS + SPREAD_MS * self._random.random()
--- a/packages/geraniumlead/tests/core_tests/forwarding/builders.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/builders.py
@@ -1,4 +1,4 @@
-"""Build routes, upstreams, requests and answers for tests of forwarding."""
+"""Builders of routes, upstreams, requests and answers for the forwarding tests."""
 
 from geraniumlead.fleet import UpstreamRecord
 from geraniumlead.forwarding import (
@@ -75,13 +75,13 @@
     return UpstreamRecord(**(values | changes))
 
 
-def build_news(
+def build_updates(
     configuration: PublishedConfiguration,
     *records: UpstreamRecord,
     is_snapshot: bool = True,
 ) -> PublishedUpdates:
-    news = (ConfigurationSeen(configuration), *(UpstreamSeen(record) for record in records))
-    return PublishedUpdates(news, is_snapshot)
+    updates = (ConfigurationSeen(configuration), *(UpstreamSeen(record) for record in records))
+    return PublishedUpdates(updates, is_snapshot)
 
 
 def build_request(key: int = 1, now_ms: float = 0.0, **changes) -> ForwardedRequest:
--- a/packages/geraniumlead/tests/core_tests/forwarding/fleet_harness.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/fleet_harness.py
@@ -1,11 +1,11 @@
-"""Drive a fleet of forwarders in virtual time; letters between them take their way."""
+"""Drive a fleet of forwarders in virtual time, including the messages between them."""
 
 from collections import defaultdict
 from collections.abc import Sequence
 
 from core_tests.forwarding.builders import build_answer, build_settings
 from core_tests.forwarding.harness import ForwarderHarness
-from geraniumlead.forwarding import PeerHeard, PublishedUpdates, StartAttempt
+from geraniumlead.forwarding import PeerMessageReceived, PublishedUpdates, StartAttempt
 from geraniumlead.peering import PeeringMessage, decode_peering, encode_peering
 from geraniumlead.peering.peer_letter import PeerLetter
 
@@ -19,10 +19,10 @@
 
 
 class FleetHarness:
-    """Hold one forwarder for each named data centre, by its address.
+    """One forwarder for each of the given data centres, by address.
 
-    Letters of those in ``silent`` are lost both ways; those sent by one in ``slow_ms`` take so
-    much longer.
+    Messages from and to the addresses in ``silent`` are lost. Messages from an address in
+    ``slow_ms`` are delayed by that time.
     """
 
     def __init__(self, data_centres: Sequence[str], **settings) -> None:
@@ -42,11 +42,11 @@
         self.now_ms = 0.0
         self.silent: set[str] = set()
         self.slow_ms: dict[str, float] = {}
-        self._late: list[tuple[float, str, str, PeeringMessage]] = []
+        self._delayed: list[tuple[float, str, str, PeeringMessage]] = []
 
-    def publish(self, news: PublishedUpdates) -> None:
+    def publish(self, updates: PublishedUpdates) -> None:
         for member in self.members.values():
-            member.handle(news)
+            member.handle(updates)
 
     def run_until(self, until_ms: float) -> None:
         while self.now_ms < until_ms:
@@ -56,29 +56,29 @@
             self.deliver()
 
     def deliver(self) -> None:
-        """Pass on all letters that have arrived, and what is said in answer."""
+        """Deliver all messages that are due, and the responses to them."""
         self._deliver_late()
-        while any(member.letters for member in self.members.values()):
+        while any(member.outgoing for member in self.members.values()):
             for address, member in self.members.items():
-                letters, member.letters = member.letters, []
-                for letter in letters:
-                    self._send(address, letter)
+                messages, member.outgoing = member.outgoing, []
+                for message in messages:
+                    self._send(address, message)
 
     def ask(self, address: str, key: int, **changes) -> list[PeerLetter]:
-        """Ask one instance; return the letters that it wrote."""
+        """Send a request to one instance; return the messages that it sent to peers."""
         member = self.members[address]
-        written = len(member.letters)
+        written = len(member.outgoing)
         member.ask(key, **changes)
-        return member.letters[written:]
+        return member.outgoing[written:]
 
     def answer_all(self) -> None:
-        """Let every attempt that is out succeed, and pass on what follows."""
+        """Let all open attempts succeed, and deliver the resulting messages."""
         for address in self.members:
             self.answer(address)
         self.deliver()
 
     def answer(self, address: str) -> list[StartAttempt]:
-        """Let the attempts of one instance succeed; return them."""
+        """Let the open attempts of one instance succeed; return them."""
         member = self.members[address]
         started, member.started = member.started, []
         if address in self.silent:
@@ -91,26 +91,28 @@
         return {address: len(member.started) for address, member in self.members.items()}
 
     def askers(self) -> dict[str, set[str]]:
-        """Return, by the upstream, the addresses of the instances whose attempts are out."""
+        """Return the addresses of the instances with open attempts, by upstream."""
         found: dict[str, set[str]] = defaultdict(set)
         for address, member in self.members.items():
             for attempt in member.started:
                 found[attempt.upstream.upstream_id].add(address)
         return found
 
-    def _send(self, address: str, letter: PeerLetter) -> None:
-        if address in self.silent or letter.address in self.silent:
+    def _send(self, address: str, outgoing: PeerLetter) -> None:
+        if address in self.silent or outgoing.address in self.silent:
             return
-        message = decode_peering(encode_peering(letter.message))
+        message = decode_peering(encode_peering(outgoing.message))
         late_ms = self.slow_ms.get(address, 0.0)
         if late_ms:
             due_ms = self.now_ms + late_ms
-            self._late.append((due_ms, letter.address, self._names[address], message))
+            self._delayed.append((due_ms, outgoing.address, self._names[address], message))
         else:
-            self.members[letter.address].handle(PeerHeard(self._names[address], message))
+            self.members[outgoing.address].handle(
+                PeerMessageReceived(self._names[address], message)
+            )
 
     def _deliver_late(self) -> None:
-        due = [entry for entry in self._late if entry[0] <= self.now_ms]
-        self._late = [entry for entry in self._late if entry[0] > self.now_ms]
+        due = [entry for entry in self._delayed if entry[0] <= self.now_ms]
+        self._delayed = [entry for entry in self._delayed if entry[0] > self.now_ms]
         for _, address, sender_id, message in sorted(due, key=lambda entry: entry[0]):
-            self.members[address].handle(PeerHeard(sender_id, message))
+            self.members[address].handle(PeerMessageReceived(sender_id, message))
--- a/packages/geraniumlead/tests/core_tests/forwarding/harness.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/harness.py
@@ -1,4 +1,4 @@
-"""Drive one forwarder in virtual time, with a hand for every answer."""
+"""Drive one forwarder in virtual time; the test supplies each answer."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
 
 
 class ForwarderHarness:
-    """Hold a forwarder and sort its actions by kind."""
+    """A forwarder whose actions are recorded by type."""
 
     def __init__(self, settings: ForwardingSettings | None = None, seed: int = 1) -> None:
         self.now_ms = 0.0
@@ -28,14 +28,14 @@
         self.started: list[StartAttempt] = []
         self.cancelled: list[int] = []
         self.replies: dict[int, object] = {}
-        self.letters: list[PeerLetter] = []
+        self.outgoing: list[PeerLetter] = []
         self.logged: list[LogDecision] = []
 
     def handle(self, event) -> list[StartAttempt]:
-        """Pass an event on; return the attempts that it started."""
-        return self.take(self.forwarder.handle(event, self.now_ms))
+        """Pass an event to the forwarder; return the attempts that it started."""
+        return self.record_actions(self.forwarder.handle(event, self.now_ms))
 
-    def take(self, actions: list) -> list[StartAttempt]:
+    def record_actions(self, actions: list) -> list[StartAttempt]:
         started = []
         for action in actions:
             match action:
@@ -47,7 +47,7 @@
                     assert key not in self.replies, "a second reply"
                     self.replies[key] = reply
                 case PeerLetter():
-                    self.letters.append(action)
+                    self.outgoing.append(action)
                 case LogDecision():
                     self.logged.append(action)
         self.started += started
@@ -63,7 +63,7 @@
         return self.handle(AttemptEnded(attempt.attempt_id, result))
 
     def run_until(self, until_ms: float) -> list[StartAttempt]:
-        """Let time pass, with every timer at its time."""
+        """Advance the time and fire each timer when it is due; return the attempts started."""
         started = []
         while (due_ms := self.forwarder.next_wake_ms()) <= until_ms:
             self.now_ms = max(self.now_ms, due_ms)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_blocks.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_blocks.py
@@ -5,8 +5,8 @@
 from core_tests.forwarding.builders import (
     build_configuration,
     build_fan_out,
-    build_news,
     build_record,
+    build_updates,
 )
 from core_tests.forwarding.fleet_harness import FleetHarness, address_of
 from geraniumlead.forwarding.aggregator_chooser import GATHERERS
@@ -25,7 +25,7 @@
         self.fleet = FleetHarness(["noord-a"] * INSTANCES)
         route = build_fan_out(SHARDS, least_share=0.9)
         records = [build_record(f"{name}.1", name) for name in route.services()]
-        self.fleet.publish(build_news(build_configuration(route), *records))
+        self.fleet.publish(build_updates(build_configuration(route), *records))
         self.fleet.run_until(5_000.0)
 
     def ask(self, address: str, key: int) -> list:
@@ -90,5 +90,5 @@
         """Below some forty shards a hop costs callers more than it spares this instance."""
         route = build_fan_out(30)
         records = [build_record(f"{name}.2", name) for name in route.services()]
-        self.fleet.publish(build_news(build_configuration(route, version=2), *records))
+        self.fleet.publish(build_updates(build_configuration(route, version=2), *records))
         self.assertEqual([], self.ask(ENTRY, 1))
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_cold_rates.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_cold_rates.py
@@ -5,10 +5,10 @@
 from core_tests.forwarding.builders import (
     build_answer,
     build_configuration,
-    build_news,
     build_record,
     build_route,
     build_settings,
+    build_updates,
 )
 from core_tests.forwarding.harness import ForwarderHarness
 from geraniumlead.forwarding import EvacuationSeen, PublishedUpdates
@@ -36,7 +36,7 @@
             harness = ForwarderHarness(settings, seed=len(fleet))
             harness.run_until(10_000.0)
             harness.forwarder._runner.set_instances(count, names)
-            harness.handle(build_news(configuration, *records))
+            harness.handle(build_updates(configuration, *records))
             harness.forwarder._peers._count_due_ms = float("inf")
             fleet.append(harness)
         return fleet
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_crash_book.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_crash_book.py
@@ -6,12 +6,12 @@
     build_answer,
     build_configuration,
     build_fan_out,
-    build_news,
     build_record,
     build_route,
+    build_updates,
 )
 from core_tests.forwarding.harness import ForwarderHarness
-from geraniumlead.forwarding import PeerHeard, PossiblyExecuted
+from geraniumlead.forwarding import PeerMessageReceived, PossiblyExecuted
 from geraniumlead.forwarding.crash_tracker import QUARANTINE_MS, STRIKES
 from geraniumlead.peering import CrashNotice
 
@@ -25,7 +25,7 @@
         shards = [f"shard-{number}" for number in range(4)]
         records = [build_record(f"reader-{number}") for number in range(9)]
         records += [build_record(f"{name}.{number}", name) for name in shards for number in (0, 1)]
-        self.harness.handle(build_news(configuration, *records))
+        self.harness.handle(build_updates(configuration, *records))
 
     def crash(self, key: int) -> int:
         """Send the same request once more; return how many upstreams it took down."""
@@ -73,7 +73,7 @@
     def test_strikes_of_peers_count_too(self):
         fingerprint = self.harness.ask(1)[0].request.fingerprint
         notice = CrashNotice(fingerprint, ("reader-1", "reader-2", "reader-3"))
-        self.harness.handle(PeerHeard("entry-2", notice))
+        self.harness.handle(PeerMessageReceived("entry-2", notice))
         self.assertEqual([], self.harness.ask(2))
 
     def test_one_more_try_after_the_time_is_over(self):
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_cut_off_watch.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_cut_off_watch.py
@@ -6,8 +6,8 @@
     build_answer,
     build_configuration,
     build_fan_out,
-    build_news,
     build_record,
+    build_updates,
 )
 from core_tests.forwarding.harness import ForwarderHarness
 from geraniumlead.forwarding import NotReached, OwnReply
@@ -64,7 +64,7 @@
             for name in index.services()
             for place in ("noord-a", "midden-a")
         ]
-        harness.handle(build_news(build_configuration(index), *records))
+        harness.handle(build_updates(build_configuration(index), *records))
         for key in range(100, 106):
             for attempt in harness.ask(key, path="/all/1"):
                 harness.now_ms += 1.0
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_delegation.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_delegation.py
@@ -6,12 +6,12 @@
     build_answer,
     build_configuration,
     build_fan_out,
-    build_news,
     build_record,
     build_settings,
+    build_updates,
 )
 from core_tests.forwarding.harness import ForwarderHarness
-from geraniumlead.forwarding import PeerHeard, PossiblyExecuted
+from geraniumlead.forwarding import PeerMessageReceived, PossiblyExecuted
 from geraniumlead.peering import (
     DelegatedReply,
     DelegatedRequest,
@@ -39,7 +39,7 @@
         shards = route.services()
         records = [build_record("near", shards[0])]
         records += [build_record(f"far.{name}", name, data_centre="midden-a") for name in shards]
-        self.news = build_news(build_configuration(route), *records)
+        self.news = build_updates(build_configuration(route), *records)
         for harness in (self.near, self.far):
             harness.handle(self.news)
         self.run_both_until(3_000.0)
@@ -53,15 +53,15 @@
     def deliver(self) -> None:
         """Pass all letters on, through the codec."""
         by_address = {"10.1.0.1:1": self.near, "10.2.0.1:1": self.far}
-        while self.near.letters or self.far.letters:
+        while self.near.outgoing or self.far.outgoing:
             for sender_id, harness in ((NEAR, self.near), (FAR, self.far)):
-                letters, harness.letters = harness.letters, []
+                letters, harness.outgoing = harness.outgoing, []
                 for letter in letters:
                     message = decode_peering(encode_peering(letter.message))
-                    by_address[letter.address].handle(PeerHeard(sender_id, message))
+                    by_address[letter.address].handle(PeerMessageReceived(sender_id, message))
 
     def find_letters(self, harness: ForwarderHarness, kind: type) -> list:
-        return [letter for letter in harness.letters if isinstance(letter.message, kind)]
+        return [letter for letter in harness.outgoing if isinstance(letter.message, kind)]
 
     def test_far_shards_cost_one_message_and_all_parts_come_back(self):
         (attempt,) = self.near.ask()
@@ -90,7 +90,7 @@
             for name, place in zip(route.services(), places, strict=True)
         ]
         for harness in (self.near, self.far):
-            harness.handle(build_news(build_configuration(route, version=2), *records))
+            harness.handle(build_updates(build_configuration(route, version=2), *records))
         self.run_both_until(self.near.now_ms + 1_500.0)
         (attempt,) = self.near.ask()
         self.assertEqual("only.shard-0", attempt.upstream.upstream_id)
@@ -105,9 +105,9 @@
         """
         self.near.ask()
         self.deliver()
-        budgets = [harness.forwarder._runner._book.budgets for harness in (self.near, self.far)]
+        budgets = [harness.forwarder._runner._tracker.budgets for harness in (self.near, self.far)]
         for number in range(5):
-            firsts = [found._of(f"shard-{number}")._first for found in budgets]
+            firsts = [found._budget_of(f"shard-{number}")._first for found in budgets]
             self.assertEqual(1, sum(firsts), number)
 
     def test_a_silent_peer_is_replaced_before_the_goal(self):
@@ -120,7 +120,7 @@
         started = self.near.run_until(self.near.now_ms + 150.0)
         services = {attempt.upstream.service for attempt in started}
         self.assertLessEqual({f"shard-{number}" for number in range(1, 5)}, services)
-        self.near.letters.clear()
+        self.near.outgoing.clear()
         self.assertEqual(5, len(self.near.ask(2)))
 
     def test_a_peer_whose_word_would_come_too_late_gets_nothing(self):
@@ -136,7 +136,7 @@
 
     def test_a_peer_with_an_older_configuration_declines(self):
         newer = build_configuration(build_fan_out(shard_count=5), version=2)
-        self.near.handle(build_news(newer, is_snapshot=False))
+        self.near.handle(build_updates(newer, is_snapshot=False))
         self.near.forwarder._peers.directory.peers[FAR].version = 2
         self.near.ask()
         self.deliver()
@@ -172,7 +172,7 @@
             build_record(f"far.{name}", name, data_centre="midden-a") for name in route.services()
         ]
         for harness in (self.near, self.far):
-            harness.handle(build_news(build_configuration(route, version=2), *records))
+            harness.handle(build_updates(build_configuration(route, version=2), *records))
         self.run_both_until(self.near.now_ms + 1_500.0)
         (attempt,) = self.near.ask()
         self.near.end(attempt, build_answer(HIGH, signature="shard-0"))
@@ -202,7 +202,7 @@
                 for number in (0, 1)
             ]
         for harness in (self.near, self.far):
-            harness.handle(build_news(build_configuration(route, version=2), *records))
+            harness.handle(build_updates(build_configuration(route, version=2), *records))
         self.run_both_until(self.near.now_ms + 1_500.0)
         self.near.ask()
         self.deliver()
@@ -220,7 +220,7 @@
         """
         self.near.ask()
         self.deliver()
-        self.far.letters.clear()
+        self.far.outgoing.clear()
         started = self.near.run_until(self.near.now_ms + 450.0)
         services = {attempt.upstream.service for attempt in started}
         self.assertLessEqual({f"shard-{number}" for number in range(1, 5)}, services)
@@ -242,7 +242,7 @@
         self.assertEqual(1, len(self.find_letters(self.far, DelegatedReply)))
 
     def test_a_stopping_peer_gets_nothing(self):
-        self.far.take(self.far.forwarder.stop(self.far.now_ms))
+        self.far.record_actions(self.far.forwarder.stop(self.far.now_ms))
         self.deliver()
         self.assertEqual(5, len(self.near.ask()))
 
@@ -268,16 +268,16 @@
         """
         for _ in range(6):
             self.near.run_until(self.near.now_ms + 1_000.0)
-            self.near.letters.clear()
+            self.near.outgoing.clear()
             self.far.run_until(self.far.now_ms + 1_000.0)
-            letters, self.far.letters = self.far.letters, []
+            letters, self.far.outgoing = self.far.outgoing, []
             for letter in letters:
-                self.near.handle(PeerHeard(FAR, letter.message))
+                self.near.handle(PeerMessageReceived(FAR, letter.message))
         self.assertEqual(5, len(self.near.ask()))
 
     def test_a_duplicate_word_or_reply_changes_nothing(self):
         self.near.ask()
         self.deliver()
-        self.near.handle(PeerHeard(FAR, DelegationTaken(1)))
-        self.near.handle(PeerHeard(FAR, DelegatedReply(99, True)))
+        self.near.handle(PeerMessageReceived(FAR, DelegationTaken(1)))
+        self.near.handle(PeerMessageReceived(FAR, DelegatedReply(99, True)))
         self.assertEqual({}, self.near.replies)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_fan_out.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_fan_out.py
@@ -1,4 +1,4 @@
-"""Test requests that go to one upstream of every shard."""
+"""Test requests that go to one upstream of each shard."""
 
 from unittest import TestCase
 from unittest.mock import patch
@@ -7,12 +7,12 @@
     build_answer,
     build_configuration,
     build_fan_out,
-    build_news,
     build_record,
+    build_updates,
 )
 from core_tests.forwarding.harness import ForwarderHarness
 from geraniumlead.forwarding import MergedReply, NotReached, PossiblyExecuted
-from geraniumlead.forwarding.late_clock import LateClock
+from geraniumlead.forwarding.lateness_estimator import LatenessEstimator
 
 LOW, MIDDLE, HIGH = (bytes([value]) * 16 for value in (1, 5, 9))
 
@@ -26,10 +26,10 @@
             for shard in route.services()
             for number in range(replicas)
         ]
-        harness.handle(build_news(build_configuration(route), *records))
+        harness.handle(build_updates(build_configuration(route), *records))
         return harness
 
-    def test_the_greatest_records_of_all_parts_come_first(self):
+    def test_the_greatest_records_of_all_shards_come_first(self):
         harness = self.build()
         bodies = [LOW + HIGH, MIDDLE + b"rest", HIGH, LOW]
         for attempt, body in zip(harness.ask(), bodies, strict=True):
@@ -39,15 +39,15 @@
         self.assertEqual(0, reply.missing)
         self.assertEqual({"shard-0", "shard-1", "shard-2", "shard-3"}, set(reply.signatures))
 
-    def test_the_work_for_an_answer_does_not_grow_with_the_shards(self):
-        """A query goes to 135 shards, and their answers come one by one.
+    def test_the_work_per_answer_does_not_grow_with_the_shards(self):
+        """A query goes to 135 shards, and their answers arrive one by one.
 
-        When each answer looked at all shards that were out, to set the next timer, the query
-        cost 40 ms of its instance's processor, and callers had their answers after the goal.
+        When each answer iterated over all open shards to set the next timer, a query took 40 ms
+        of CPU time on its instance, and callers got their replies after the goal.
         """
         harness = self.build(shard_count=135)
         with patch.object(
-            LateClock, "late_ms", autospec=True, side_effect=LateClock.late_ms
+            LatenessEstimator, "late_ms", autospec=True, side_effect=LatenessEstimator.late_ms
         ) as seen:
             for attempt in harness.ask():
                 harness.now_ms += 0.1
@@ -58,8 +58,8 @@
     def test_a_slow_first_query_is_not_sent_twice(self):
         """An instance opens a connection to each of forty shards for its first query.
 
-        All parts take longer than the first guess allows. Sent again, they doubled the load
-        of upstreams that had to accept connections from a whole fleet that was starting.
+        All subrequests take longer than the initial estimate allows. Sent again, they doubled the
+        load of upstreams that had to accept connections of a whole fleet that was starting.
         """
         harness = self.build(shard_count=40)
         attempts = harness.ask()
@@ -68,10 +68,10 @@
             harness.end(attempt, build_answer())
         self.assertEqual(2, len(harness.run_until(200.0)))
 
-    def test_the_goal_ends_the_wait_when_enough_is_in(self):
-        """One shard hangs. With enough of the others the caller is served at its goal.
+    def test_the_goal_ends_the_wait_if_enough_shards_have_answered(self):
+        """One shard hangs. If enough of the others have answered, the reply is sent at the goal.
 
-        To wait for the last one would turn an answer in time into a late one.
+        Waiting for the last one would make a reply late that could be in time.
         """
         harness = self.build(replicas=1)
         for attempt in harness.ask()[:3]:
@@ -82,7 +82,7 @@
         self.assertEqual(1, reply.missing)
         self.assertEqual(1, len(harness.cancelled))
 
-    def test_too_few_parts_are_waited_for_beyond_the_goal(self):
+    def test_with_too_few_answers_the_wait_continues_after_the_goal(self):
         harness = self.build(replicas=1, least_share=0.75)
         attempts = harness.ask()
         for attempt in attempts[:2]:
@@ -103,16 +103,17 @@
     def test_shards_without_upstreams_refuse_the_query_before_anything_is_sent(self):
         """Half of the shards have no upstream left.
 
-        Known at once, this is said at once, with a time to come back, and truly not run.
+        This is known before anything is sent, so the caller is refused at once, with the time
+        after which to retry and the guarantee that nothing was executed.
         """
         harness = ForwarderHarness()
         route = build_fan_out(least_share=0.75)
         records = [build_record("only", "shard-0")]
-        harness.handle(build_news(build_configuration(route), *records))
+        harness.handle(build_updates(build_configuration(route), *records))
         self.assertEqual([], harness.ask())
         self.assertEqual(503, harness.replies[1].status)
 
-    def test_a_late_part_is_asked_for_again_and_the_loser_cancelled(self):
+    def test_a_late_subrequest_is_hedged_and_the_slower_attempt_cancelled(self):
         harness = self.build()
         attempts = harness.ask()
         for attempt in attempts[:3]:
@@ -130,31 +131,31 @@
         (second,) = harness.end(first, NotReached("refused"))
         self.assertEqual(first.upstream.service, second.upstream.service)
 
-    def test_a_configuration_that_comes_meanwhile_does_not_mix_into_the_answer(self):
-        """The index is cut into other shards while a query runs.
+    def test_a_new_configuration_does_not_affect_open_queries(self):
+        """The index is divided into different shards while a query runs.
 
-        Parts of both sets would be an answer that no version of the configuration names.
+        An answer with shards of both sets would match no version of the configuration.
         """
         harness = self.build(replicas=1)
         attempts = harness.ask()
         newer = build_configuration(build_fan_out(shard_count=2), version=2)
-        harness.handle(build_news(newer, is_snapshot=False))
+        harness.handle(build_updates(newer, is_snapshot=False))
         for attempt in attempts:
             harness.end(attempt, build_answer(HIGH, signature=attempt.upstream.service))
         self.assertEqual(4, len(harness.replies[1].signatures))
 
 
 class FanOutBudgetTests(TestCase):
-    def test_late_parts_of_many_queries_stay_within_the_budget(self):
-        """All upstreams turn slow at once, and every part of every query is late.
+    def test_late_subrequests_of_many_queries_stay_within_the_budget(self):
+        """All upstreams become slow at once, and every subrequest of every query is late.
 
-        Repeated without a bound, the load on what is overloaded already would double.
+        Unbounded second attempts would double the load of upstreams that are already overloaded.
         """
         harness = ForwarderHarness()
         harness.forwarder._runner.set_instances(1, ())
         route = build_fan_out(shard_count=1, least_share=1.0)
         records = [build_record(f"only.{number}", "shard-0") for number in range(60)]
-        harness.handle(build_news(build_configuration(route), *records))
+        harness.handle(build_updates(build_configuration(route), *records))
         for key in range(1, 401):
             harness.ask(key)
             harness.run_until(harness.now_ms + 20.0)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_far_blocks.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_far_blocks.py
@@ -6,8 +6,8 @@
     REGIONS,
     build_configuration,
     build_fan_out,
-    build_news,
     build_record,
+    build_updates,
 )
 from core_tests.forwarding.fleet_harness import FleetHarness, address_of
 from geraniumlead.forwarding.aggregator_chooser import GATHERERS
@@ -29,7 +29,7 @@
         for place in PLACES
         if place != PLACES[number % len(PLACES)]
     ]
-    fleet.publish(build_news(build_configuration(route), *records))
+    fleet.publish(build_updates(build_configuration(route), *records))
     fleet.run_until(run_ms)
     return fleet
 
@@ -86,7 +86,7 @@
             for number, name in enumerate(route.services())
             for place in (("midden-a",) if number < 12 else ("midden-a", "noord-a"))
         ]
-        fleet.publish(build_news(build_configuration(route, version=2), *records))
+        fleet.publish(build_updates(build_configuration(route, version=2), *records))
         fleet.run_until(fleet.now_ms + 1_500.0)
         letters = [
             letter
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_late_words.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_late_words.py
@@ -6,8 +6,8 @@
     build_answer,
     build_configuration,
     build_fan_out,
-    build_news,
     build_record,
+    build_updates,
 )
 from core_tests.forwarding.fleet_harness import HIGH, FleetHarness, address_of
 from geraniumlead.forwarding import PossiblyExecuted
@@ -31,7 +31,7 @@
         records = [
             build_record(f"{name}.{copy}", name) for name in route.services() for copy in (1, 2)
         ]
-        self.fleet.publish(build_news(build_configuration(route), *records))
+        self.fleet.publish(build_updates(build_configuration(route), *records))
         self.fleet.run_until(5_000.0)
         self.entry = self.fleet.members[ENTRY]
 
@@ -104,9 +104,9 @@
             self.fleet.run_until(self.fleet.now_ms + 200.0)
             self.fleet.answer(ENTRY)
             self.fleet.run_until(self.fleet.now_ms + 200.0)
-        budgets = self.entry.forwarder._runner._book.budgets
+        budgets = self.entry.forwarder._runner._tracker.budgets
         for number in range(SHARDS):
-            self.assertTrue(budgets.may_repeat_failed(f"shard-{number}", self.fleet.now_ms))
+            self.assertTrue(budgets.may_retry(f"shard-{number}", self.fleet.now_ms))
 
     def test_a_block_that_comes_beside_a_second_asking_counts_once(self):
         """A peer's word is late, a shard is asked from here and answers, then the block comes.
@@ -161,7 +161,7 @@
         letters = self.ask_slow_peers()
         self.fleet.run_until(self.fleet.now_ms + 60.0)
         self.entry.leave(1)
-        self.entry.letters.clear()
+        self.entry.outgoing.clear()
         self.fleet.run_until(self.fleet.now_ms + SLOW_MS)
         self.fleet.slow_ms = {}
         again: set[str] = set()
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_own_delay.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_own_delay.py
@@ -1,4 +1,4 @@
-"""Test how much of a goal is left for the instance's own work."""
+"""Test the margin of a goal for the work of the instance itself."""
 
 from unittest import TestCase
 
@@ -6,16 +6,16 @@
     build_answer,
     build_configuration,
     build_fan_out,
-    build_news,
     build_record,
+    build_updates,
 )
 from core_tests.forwarding.harness import ForwarderHarness
 from geraniumlead.forwarding import ReplyWritten, TimePassed
 from geraniumlead.forwarding.own_delay import (
-    LEAST_MARGIN_MS,
-    LEAST_SAMPLES,
-    MOST_MARGIN_GOAL_SHARE,
-    PART_MARGIN_MS,
+    MAX_MARGIN_GOAL_SHARE,
+    MIN_MARGIN_MS,
+    MIN_SAMPLES,
+    SUBREQUEST_MARGIN_MS,
     OwnDelay,
 )
 
@@ -23,48 +23,48 @@
 
 
 class OwnDelayTests(TestCase):
-    def test_the_least_margin_holds_while_nothing_is_known(self):
-        self.assertEqual(LEAST_MARGIN_MS, OwnDelay().margin_ms(GOAL_MS, 0, 0.0))
+    def test_the_minimum_margin_applies_without_samples(self):
+        self.assertEqual(MIN_MARGIN_MS, OwnDelay().margin_ms(GOAL_MS, 0, 0.0))
 
-    def test_each_part_of_a_query_takes_some_more(self):
-        """Ninety parts share a slow link; a reply behind them left in time and came too late."""
+    def test_each_subrequest_of_a_query_increases_the_margin(self):
+        """Ninety subrequests share a slow link, and a reply that was sent in time arrived late."""
         few, many = (OwnDelay().margin_ms(GOAL_MS, parts, 0.0) for parts in (20, 90))
-        self.assertAlmostEqual(70 * PART_MARGIN_MS, many - few)
+        self.assertAlmostEqual(70 * SUBREQUEST_MARGIN_MS, many - few)
 
     def test_late_timers_and_slow_writing_add_up(self):
         delay = OwnDelay()
-        for _ in range(LEAST_SAMPLES):
-            delay.note_timer(12.0, 0.0)
-            delay.note_written(8.0, 0.0)
+        for _ in range(MIN_SAMPLES):
+            delay.record_timer(12.0, 0.0)
+            delay.record_write(8.0, 0.0)
         self.assertAlmostEqual(20.0, delay.margin_ms(GOAL_MS, 0, 100.0), delta=0.5)
 
-    def test_the_margin_never_takes_most_of_a_goal(self):
+    def test_the_margin_is_limited_to_a_share_of_the_goal(self):
         delay = OwnDelay()
-        for _ in range(LEAST_SAMPLES):
-            delay.note_timer(500.0, 0.0)
-        self.assertEqual(MOST_MARGIN_GOAL_SHARE * GOAL_MS, delay.margin_ms(GOAL_MS, 0, 100.0))
+        for _ in range(MIN_SAMPLES):
+            delay.record_timer(500.0, 0.0)
+        self.assertEqual(MAX_MARGIN_GOAL_SHARE * GOAL_MS, delay.margin_ms(GOAL_MS, 0, 100.0))
 
-    def test_a_fast_instance_forgets_that_it_was_slow(self):
+    def test_old_delays_are_discarded(self):
         delay = OwnDelay()
-        for _ in range(LEAST_SAMPLES):
-            delay.note_timer(30.0, 0.0)
+        for _ in range(MIN_SAMPLES):
+            delay.record_timer(30.0, 0.0)
         for second in range(1, 13):
-            for _ in range(LEAST_SAMPLES):
-                delay.note_timer(0.1, second * 1_000.0)
-        self.assertEqual(LEAST_MARGIN_MS, delay.margin_ms(GOAL_MS, 0, 13_000.0))
+            for _ in range(MIN_SAMPLES):
+                delay.record_timer(0.1, second * 1_000.0)
+        self.assertEqual(MIN_MARGIN_MS, delay.margin_ms(GOAL_MS, 0, 13_000.0))
 
 
 class SlowInstanceTests(TestCase):
-    def test_an_instance_that_is_behind_replies_sooner(self):
-        """The timer at the goal of a small machine fires 25 ms late, behind many answers.
+    def test_a_slow_instance_replies_earlier(self):
+        """The timer at the goal fires 25 ms late on a small machine that processes many answers.
 
-        One shard of four never answers. With a fixed margin each reply with the other three
-        left after the goal, and was worth a tenth.
+        One shard of four never answers. With a fixed margin each reply with the other three was
+        sent after the goal, and was worth a tenth.
         """
         harness = ForwarderHarness()
         route = build_fan_out(least_share=0.75)
         records = [build_record(f"{shard}.1", shard) for shard in route.services()]
-        harness.handle(build_news(build_configuration(route), *records))
+        harness.handle(build_updates(build_configuration(route), *records))
         for key in range(1, 20):
             arrived_ms = harness.now_ms
             for attempt in harness.ask(key)[:3]:
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_published_state.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_published_state.py
@@ -5,9 +5,9 @@
 from core_tests.forwarding.builders import (
     build_answer,
     build_configuration,
-    build_news,
     build_record,
     build_route,
+    build_updates,
 )
 from core_tests.forwarding.harness import ForwarderHarness
 from geraniumlead.forwarding import PublishedUpdates, StoreLost, UpstreamWithdrawn
@@ -20,9 +20,9 @@
 
     def test_a_service_of_a_route_without_upstreams_is_lacking(self):
         harness = ForwarderHarness()
-        harness.handle(build_news(build_configuration(build_route())))
+        harness.handle(build_updates(build_configuration(build_route())))
         self.assertTrue(harness.forwarder.published.lacks_upstreams)
-        harness.handle(build_news(build_configuration(build_route()), build_record("x")))
+        harness.handle(build_updates(build_configuration(build_route()), build_record("x")))
         self.assertFalse(harness.forwarder.published.lacks_upstreams)
 
     def test_a_service_that_no_route_leads_to_is_not_waited_for(self):
@@ -34,7 +34,7 @@
         services = {name: UpstreamService(name, 26, 0.0) for name in ("reader", "to-come")}
         found = PublishedConfiguration(1, RouteTable([build_route()]), services)
         harness = ForwarderHarness()
-        harness.handle(build_news(found, build_record("x")))
+        harness.handle(build_updates(found, build_record("x")))
         self.assertFalse(harness.forwarder.published.lacks_upstreams)
 
 
@@ -44,7 +44,7 @@
     def test_a_request_tells_how_old_the_view_was_that_it_was_served_by(self):
         """Guards against a complaint of old routes that no line of the log can explain."""
         harness = ForwarderHarness()
-        news = build_news(build_configuration(build_route()), build_record("x")).updates
+        news = build_updates(build_configuration(build_route()), build_record("x")).updates
         harness.handle(PublishedUpdates(news, False, age_ms=300.0, source="entry-2"))
         harness.now_ms += 900.0
         (attempt,) = harness.ask()
@@ -56,7 +56,7 @@
 
     def test_late_news_of_a_peer_make_no_view_younger_than_it_is(self):
         harness = ForwarderHarness()
-        harness.handle(build_news(build_configuration(build_route()), build_record("x")))
+        harness.handle(build_updates(build_configuration(build_route()), build_record("x")))
         harness.now_ms += 1_000.0
         harness.handle(PublishedUpdates((), False, age_ms=2_500.0, source="entry-2"))
         self.assertEqual(1_000.0, harness.forwarder.published.view_age_ms(harness.now_ms))
@@ -65,7 +65,7 @@
 class LapseTests(TestCase):
     def build(self) -> ForwarderHarness:
         harness = ForwarderHarness()
-        harness.handle(build_news(build_configuration(build_route()), build_record("x")))
+        harness.handle(build_updates(build_configuration(build_route()), build_record("x")))
         return harness
 
     def withdraw(self, harness: ForwarderHarness, **changes) -> list:
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_single_requests.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_single_requests.py
@@ -5,10 +5,10 @@
 from core_tests.forwarding.builders import (
     build_answer,
     build_configuration,
-    build_news,
     build_record,
     build_request,
     build_route,
+    build_updates,
 )
 from core_tests.forwarding.harness import ForwarderHarness
 from geraniumlead.forwarding import (
@@ -28,10 +28,10 @@
         harness = ForwarderHarness()
         configuration = build_configuration(build_route(**changes))
         records = [build_record(f"reader-{number}") for number in range(3)]
-        harness.handle(build_news(configuration, *records))
+        harness.handle(build_updates(configuration, *records))
         return harness
 
-    def test_an_answer_is_passed_on_as_it_is(self):
+    def test_an_answer_is_relayed_unchanged(self):
         harness = self.build()
         (attempt,) = harness.ask()
         answer = build_answer(b"page", status=404)
@@ -39,10 +39,10 @@
         self.assertEqual(RelayedReply(build_answer(b"page")), harness.replies[1])
         self.assertNotEqual(answer, harness.replies[1].answer)
 
-    def test_without_a_configuration_nothing_is_said_about_routes(self):
-        """A process has just started and the store is slow.
+    def test_without_a_configuration_requests_are_refused_with_503(self):
+        """A process has just started, and the store is slow.
 
-        With 404 its callers would believe that the route is gone, and not come back.
+        With a 404 its callers would conclude that the route no longer exists and not retry.
         """
         harness = ForwarderHarness()
         harness.ask()
@@ -56,18 +56,18 @@
         harness.ask(path="/other/1")
         self.assertEqual(OwnReply(404, "no_route"), harness.replies[1])
 
-    def test_a_request_that_must_not_be_repeated_is_sent_once_when_its_answer_is_lost(self):
-        """The upstream runs a booking, and its connection is reset before the answer.
+    def test_a_request_that_is_not_idempotent_is_sent_once_if_its_answer_is_lost(self):
+        """The upstream executes a booking, and its connection is reset before the answer.
 
-        A second try books twice. The caller gets 502, which says nothing about what ran;
-        503 would tell it to send the booking again.
+        A second attempt would book twice. The caller gets 502, which does not state what was
+        executed; 503 would tell it to send the booking again.
         """
         harness = self.build(is_idempotent=False)
         (attempt,) = harness.ask()
         self.assertEqual([], harness.end(attempt, PossiblyExecuted("reset")))
         self.assertEqual(502, harness.replies[1].status)
 
-    def test_a_request_that_must_not_be_repeated_goes_on_after_a_rejection(self):
+    def test_a_request_that_is_not_idempotent_is_retried_after_a_rejection(self):
         harness = self.build(is_idempotent=False)
         (first,) = harness.ask()
         (second,) = harness.end(first, NotExecuted(503))
@@ -75,14 +75,14 @@
         harness.end(second, NotExecuted(503))
         self.assertEqual(503, harness.replies[1].status)
 
-    def test_a_late_request_that_must_not_be_repeated_is_never_sent_again(self):
+    def test_a_late_request_that_is_not_idempotent_is_never_sent_again(self):
         harness = self.build(is_idempotent=False)
         harness.ask()
         self.assertEqual([], harness.run_until(900.0))
         harness.run_until(1_000.0)
         self.assertEqual(504, harness.replies[1].status)
 
-    def test_a_lost_answer_of_an_idempotent_request_is_asked_for_again(self):
+    def test_an_idempotent_request_is_retried_if_its_answer_is_lost(self):
         harness = self.build()
         (first,) = harness.ask()
         (second,) = harness.end(first, PossiblyExecuted("reset"))
@@ -91,9 +91,9 @@
         self.assertIsInstance(harness.replies[1], RelayedReply)
 
     def test_no_more_upstreams_than_allowed_may_run_a_request(self):
-        """Every upstream that runs a request crashes, and its caller sends it again.
+        """Every upstream that executes a request crashes, and its caller retries it.
 
-        Each retry takes one more upstream down, so the route's bound holds for failures too.
+        Each retry crashes one more upstream, so the limit of the route applies to failures too.
         """
         harness = self.build(most_upstreams=2)
         (first,) = harness.ask()
@@ -101,28 +101,28 @@
         self.assertEqual([], harness.end(second, PossiblyExecuted("reset")))
         self.assertEqual(502, harness.replies[1].status)
 
-    def test_an_upstream_without_connection_does_not_count(self):
+    def test_an_upstream_that_was_not_reached_does_not_count(self):
         harness = self.build(most_upstreams=1)
         (first,) = harness.ask()
         (second,) = harness.end(first, NotReached("refused"))
         harness.end(second, build_answer())
         self.assertIsInstance(harness.replies[1], RelayedReply)
 
-    def test_a_caller_that_leaves_ends_the_work(self):
+    def test_the_work_ends_if_the_caller_disconnects(self):
         harness = self.build()
         (attempt,) = harness.ask()
         harness.leave(1)
         self.assertEqual([attempt.attempt_id], harness.cancelled)
         self.assertEqual({}, harness.replies)
 
-    def test_time_that_is_left_shrinks_for_a_second_attempt(self):
+    def test_a_second_attempt_gets_the_remaining_time(self):
         harness = self.build()
         (first,) = harness.ask()
         harness.now_ms = 200.0
         (second,) = harness.end(first, PossiblyExecuted("reset"))
         self.assertAlmostEqual(first.time_left_ms - 200.0, second.time_left_ms)
 
-    def test_an_answer_that_comes_after_the_end_is_dropped(self):
+    def test_an_answer_after_the_timeout_is_dropped(self):
         harness = self.build()
         (attempt,) = harness.ask()
         harness.run_until(1_000.0)
@@ -130,17 +130,17 @@
         harness.end(attempt, build_answer())
         self.assertEqual(504, status)
 
-    def test_the_end_is_the_routes_timeout_when_that_is_sooner(self):
+    def test_the_timeout_of_the_route_applies_if_it_is_shorter(self):
         harness = self.build(timeout_ms=400.0)
         harness.ask(wait_ms=5_000.0)
         harness.run_until(400.0)
         self.assertEqual(504, harness.replies[1].status)
 
-    def test_a_region_that_is_not_allowed_gets_nothing(self):
+    def test_a_region_that_is_not_allowed_gets_no_requests(self):
         harness = ForwarderHarness()
         route = build_route(allowed_regions=frozenset({"zuid"}))
         near, far = build_record("near"), build_record("far", data_centre="zuid-a")
-        harness.handle(build_news(build_configuration(route), near, far))
+        harness.handle(build_updates(build_configuration(route), near, far))
         (attempt,) = harness.ask()
         self.assertEqual("far", attempt.upstream.upstream_id)
         self.assertEqual([], harness.end(attempt, NotReached("refused")))
@@ -149,33 +149,33 @@
     def test_a_lower_version_never_replaces_a_higher_one(self):
         """The store answers from an old copy after an outage.
 
-        Requests would be handled as only an older version allows, though a server had
-        already seen the newer one.
+        Requests would be handled according to an older version, although the instance had already
+        seen the newer one.
         """
         harness = self.build()
         newer = build_configuration(build_route(prefix="/new/"), version=5)
-        harness.handle(build_news(newer, is_snapshot=False))
+        harness.handle(build_updates(newer, is_snapshot=False))
         older = build_configuration(build_route(), version=4)
-        harness.handle(build_news(older, is_snapshot=False))
+        harness.handle(build_updates(older, is_snapshot=False))
         harness.ask()
         self.assertEqual(404, harness.replies[1].status)
 
-    def test_a_stop_ends_what_is_open_without_a_false_promise(self):
+    def test_a_stop_ends_open_requests_without_a_false_guarantee(self):
         harness = self.build()
         harness.ask()
-        harness.take(harness.forwarder.stop(harness.now_ms))
+        harness.record_actions(harness.forwarder.stop(harness.now_ms))
         self.assertFalse(harness.forwarder.is_ready)
-        harness.take(harness.forwarder.end_all(harness.now_ms))
+        harness.record_actions(harness.forwarder.end_all(harness.now_ms))
         self.assertEqual(502, harness.replies[1].status)
 
-    def test_a_split_route_without_any_weight_refuses(self):
+    def test_a_split_route_without_weights_refuses_requests(self):
         harness = ForwarderHarness()
         route = build_route(SplitServices((("reader", 0.0),)))
-        harness.handle(build_news(build_configuration(route), build_record("one")))
+        harness.handle(build_updates(build_configuration(route), build_record("one")))
         harness.ask()
         self.assertEqual(503, harness.replies[1].status)
 
-    def test_an_empty_reading_of_the_store_leaves_nothing_to_serve(self):
+    def test_after_an_empty_snapshot_of_the_store_requests_are_refused(self):
         harness = self.build()
         harness.handle(PublishedUpdates((), is_snapshot=True))
         harness.handle(RequestArrived(build_request(2)))
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_waiting.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_waiting.py
@@ -1,4 +1,4 @@
-"""Test who waits for a place at an upstream, and who is refused."""
+"""Test which requests wait for a call slot at an upstream, and which are refused."""
 
 from unittest import TestCase
 
@@ -6,9 +6,9 @@
     build_answer,
     build_configuration,
     build_fan_out,
-    build_news,
     build_record,
     build_route,
+    build_updates,
 )
 from core_tests.forwarding.harness import ForwarderHarness
 from geraniumlead.forwarding import RelayedReply
@@ -16,7 +16,7 @@
 
 
 class WaitingTests(TestCase):
-    """Hold an instance that may have three calls at its only upstream."""
+    """An instance with three call slots at its only upstream."""
 
     def build(self, *routes) -> ForwarderHarness:
         harness = ForwarderHarness()
@@ -24,14 +24,14 @@
         records = [
             build_record(service, service) for route in routes for service in route.services()
         ]
-        harness.handle(build_news(build_configuration(*routes), *records))
+        harness.handle(build_updates(build_configuration(*routes), *records))
         return harness
 
-    def test_a_burst_waits_for_places_instead_of_being_refused(self):
-        """Callers who came while the processes were down all come at once.
+    def test_a_burst_waits_for_call_slots_instead_of_being_refused(self):
+        """Requests that were held up while the processes were down arrive all at once.
 
-        Each upstream has a few places for each instance. Refused, all but the first would
-        have to come again, though a place is free some milliseconds later.
+        Each upstream has a few call slots for each instance. If the others were refused, all but
+        the first would have to be retried, although a slot is free some milliseconds later.
         """
         harness = self.build(build_route())
         started = [attempt for key in range(1, 7) for attempt in harness.ask(key)]
@@ -43,7 +43,7 @@
         for reply in harness.replies.values():
             self.assertIsInstance(reply, RelayedReply)
 
-    def test_who_waits_too_long_is_refused_while_it_can_still_be_served(self):
+    def test_a_long_wait_ends_with_a_refusal_in_time_for_another_instance(self):
         harness = self.build(build_route())
         for key in range(1, 6):
             harness.ask(key)
@@ -53,7 +53,7 @@
         for reply in harness.replies.values():
             self.assertGreater(reply.retry_after_ms, 0.0)
 
-    def test_the_more_urgent_route_goes_first(self):
+    def test_the_route_with_the_higher_priority_is_served_first(self):
         harness = self.build(
             build_route(name="slow", priority=3),
             build_route(name="urgent", prefix="/urgent/", priority=0),
@@ -64,12 +64,12 @@
         (next_one,) = harness.end(first[0], build_answer())
         self.assertEqual("/urgent/1", next_one.request.target)
 
-    def test_who_can_still_meet_its_goal_goes_before_who_cannot(self):
-        """Callers that waited out a loss of power come at once with new ones.
+    def test_requests_that_can_meet_their_goal_are_served_first(self):
+        """Requests that were delayed by a power failure arrive at once with new ones.
 
-        The old ones' goals have passed and they are glad of any answer in the next second.
-        Served first, by their earlier goals, they made all new ones late as well, and the
-        queue of late requests outlived the outage by a second.
+        The goals of the old requests have passed, but any answer in the next second is still of
+        use to their callers. Served first, by their earlier goals, they made all new requests late
+        as well, and the queue of late requests lasted a second longer than the outage.
         """
         harness = self.build(build_route())
         harness.ask(1, wait_ms=1_000.0)
@@ -79,7 +79,7 @@
         (next_one,) = harness.end(first[0], build_answer())
         self.assertEqual("request-5", next_one.request.request_id)
 
-    def test_a_caller_that_leaves_gives_its_turn_away(self):
+    def test_a_request_whose_caller_disconnects_leaves_the_queue(self):
         harness = self.build(build_route())
         first = [attempt for key in range(1, 4) for attempt in harness.ask(key)]
         harness.ask(4)
@@ -88,7 +88,7 @@
         (next_one,) = harness.end(first[0], build_answer())
         self.assertEqual("request-5", next_one.request.request_id)
 
-    def test_a_part_that_waits_does_not_hold_the_others(self):
+    def test_a_waiting_subrequest_does_not_block_the_others(self):
         harness = self.build(build_fan_out(shard_count=2))
         harness.forwarder._runner.chooser.estimate_of("shard-1").in_flight = 3
         (attempt,) = harness.ask()
