--- a/packages/geraniumlead/src/geraniumlead/forwarding/attempt_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/attempt_tracker.py
@@ -53,7 +53,7 @@
         self.chooser = UpstreamChooser(settings, fleet, self.relative_rtts, random)
 
     def choose(
-        self, subrequest: Subrequest, now_ms: float, only_good: bool = False
+        self, subrequest: Subrequest, now_ms: float, skip_avoided: bool = False
     ) -> UpstreamRecord | None:
         """Return the upstream for the next attempt of a subrequest, or None."""
         opened = subrequest.request
@@ -62,7 +62,12 @@
             return None
         median_latency_ms = self.lateness.median_latency_ms(opened.route, now_ms)
         return self.chooser.choose(
-            opened.route, service, subrequest.tried, median_latency_ms, now_ms, only_good=only_good
+            opened.route,
+            service,
+            subrequest.tried,
+            median_latency_ms,
+            now_ms,
+            only_good=skip_avoided,
         )
 
     def could_wait(self, subrequest: Subrequest, now_ms: float) -> bool:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
@@ -85,7 +85,7 @@
             }
             self._actions.append(LogDecision("peer_silent", fields, "warning"))
             if delegation.lateness is Lateness.GIVEN_UP:
-                self._runner.retry_delegated(delegation, "peer silent", now_ms)
+                self._runner.reclaim_delegated(delegation, "peer silent", now_ms)
             else:
                 self._runner.hedge_delegated(delegation, now_ms)
         for fingerprint, upstream_ids in self._runner.crashes.take_told().items():
--- a/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
@@ -141,7 +141,7 @@
         self.delegated.ask_beside(delegation, now_ms)
         self._finish_or_schedule(delegation.opened, now_ms)
 
-    def retry_delegated(self, delegation: Delegation, why: str, now_ms: float) -> None:
+    def reclaim_delegated(self, delegation: Delegation, why: str, now_ms: float) -> None:
         """Query the shards of a delegation that was given up from this instance."""
         self.delegated.take_back(delegation, why, now_ms)
         self._finish_or_schedule(delegation.opened, now_ms)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/subrequest_sender.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/subrequest_sender.py
@@ -113,7 +113,7 @@
         for subrequest in subrequests:
             if subrequest.open_attempts or not may_send(subrequest.service, now_ms):
                 continue
-            upstream = self._tracker.choose(subrequest, now_ms, only_good=not is_overdue)
+            upstream = self._tracker.choose(subrequest, now_ms, skip_avoided=not is_overdue)
             if upstream is not None:
                 self._tracker.resend(subrequest, upstream, "peer is late", now_ms)
 
@@ -179,7 +179,7 @@
                 self._tracker.record_overdue(attempt, now_ms)
             if not self._tracker.budgets.may_hedge(subrequest.service, now_ms):
                 continue
-            upstream = self._tracker.choose(subrequest, now_ms, only_good=True)
+            upstream = self._tracker.choose(subrequest, now_ms, skip_avoided=True)
             if upstream is not None:
                 self._tracker.resend(subrequest, upstream, "late", now_ms)
 
