--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegated_subrequests.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegated_subrequests.py
@@ -62,7 +62,7 @@
                 # from here as well.
                 answer = Completed(OK, (), records, signature)
                 delegation.opened.settle_answered(subrequest, answer)
-                self._sender.cancel_leg(subrequest, now_ms)
+                self._sender.cancel_subrequest(subrequest, now_ms)
                 records = b""
         if reply.is_final:
             reason = "declined" if reply.is_declined else "missing at the peer"
@@ -85,8 +85,8 @@
             delegation.is_shared = True
             self._actions.append(self.tracker.build_shared_message(delegation))
             for subrequest in missing:
-                self._sender.note_tried(subrequest, (None,))
-        self._sender.ask_beside(missing, delegation.lateness is Lateness.REPLY, now_ms)
+                self._sender.record_peer_attempts(subrequest, (None,))
+        self._sender.hedge_delegated(missing, delegation.lateness is Lateness.REPLY, now_ms)
 
     def reclaim(self, delegation: Delegation, reason: str, now_ms: float) -> None:
         """Cancel a delegation and send its unanswered subrequests from here."""
@@ -125,6 +125,6 @@
         missing = [subrequest for subrequest in delegation.subrequests if not subrequest.is_settled]
         for subrequest in missing:
             subrequest.is_delegated = False
-            self._sender.note_tried(subrequest, tried.get(subrequest.service, ()))
+            self._sender.record_peer_attempts(subrequest, tried.get(subrequest.service, ()))
         unsent = [subrequest for subrequest in missing if not subrequest.open_attempts]
-        self._sender.ask_again(delegation.opened, unsent, reason, now_ms)
+        self._sender.retry_delegated(delegation.opened, unsent, reason, now_ms)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegation_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegation_tracker.py
@@ -104,7 +104,7 @@
         one_way_ms = peer.estimated_delay_ms
         request = opened.request
         time_left_ms = max(0.0, opened.end_ms - now_ms - one_way_ms)
-        processing_ms = max(PEER_PROCESSING_MS, self._reply_delay.high_ms(now_ms))
+        processing_ms = max(PEER_PROCESSING_MS, self._reply_delay.quantile_ms(now_ms))
         goal_left_ms = opened.goal_ms - now_ms - 2.0 * one_way_ms - processing_ms
         if goal_left_ms < MIN_GOAL_LEFT_MS:
             # The goal cannot be met, so the peer gets the caller's remaining time to reach
@@ -147,7 +147,7 @@
 
     def _ack_timeout_ms(self, peer: KnownPeer, goal_left_ms: float, now_ms: float) -> float:
         """Return how long to wait for a peer's acknowledgement."""
-        delay_ms = ACK_DELAY_FACTOR * self._ack_delay.high_ms(now_ms)
+        delay_ms = ACK_DELAY_FACTOR * self._ack_delay.quantile_ms(now_ms)
         expected_ms = 2.0 * peer.estimated_delay_ms + delay_ms
         return max(
             peer.acknowledgement_timeout_ms, min(expected_ms, MAX_ACK_GOAL_SHARE * goal_left_ms)
@@ -164,7 +164,7 @@
             return
         delegation.is_acknowledged = True
         ack_ms = now_ms - delegation.sent_ms
-        self._ack_delay.note(ack_ms - 2.0 * delegation.peer.estimated_delay_ms, now_ms)
+        self._ack_delay.record(ack_ms - 2.0 * delegation.peer.estimated_delay_ms, now_ms)
         if delegation.lateness is not Lateness.REPLY:
             self._set_due(delegation, delegation.reply_due_ms)
 
@@ -187,7 +187,7 @@
             delegation.is_acknowledged = True
             delegation.due_ms = float("inf")
             late_ms = PEER_PROCESSING_MS + now_ms - delegation.partial_reply_due_ms
-            self._reply_delay.note(late_ms, now_ms)
+            self._reply_delay.record(late_ms, now_ms)
         return delegation
 
     def pop(self, number: int) -> Delegation | None:
@@ -209,7 +209,7 @@
         Those that are given up are removed.
         """
         overdue = []
-        while (due := self._wakes.take_due(now_ms)) is not None:
+        while (due := self._wakes.pop_due(now_ms)) is not None:
             due_ms, number = due
             delegation = self._open.get(number)
             if delegation is None or delegation.due_ms != due_ms:
