--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/queries.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/queries.py
@@ -35,7 +35,7 @@
         render_outcome(response, asked.request_id, answer.outcome)
 
     def _build_request(self, request, customer: str, body: QueryBody) -> CallerRequest:
-        traffic_class = self._driver.instance.parts.class_of(customer, body.class_name)
+        traffic_class = self._driver.instance.parts.find_traffic_class(customer, body.class_name)
         if traffic_class is None:
             raise falcon.HTTPBadRequest(title=f"the contract has no class {body.class_name!r}")
         if body.least_coverage is None:
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/tickets.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/tickets.py
@@ -5,7 +5,7 @@
 import falcon
 from msgspec.json import Decoder
 
-from geraniumlead.events import TicketAsked
+from geraniumlead.events import TicketRequested
 from geraniumlead_server.callers.bodies import TicketBody
 from geraniumlead_server.callers.credentials import find_customer
 from geraniumlead_server.callers.reading import read_body
@@ -27,7 +27,9 @@
         limit_bytes = self._driver.instance.parts.settings.limits.body_bytes
         body = await read_body(request, _DECODER, limit_bytes)
         request_id = uuid4().hex
-        given = await self._driver.ask_ticket(TicketAsked(request_id, customer, body.class_name))
+        given = await self._driver.ask_ticket(
+            TicketRequested(request_id, customer, body.class_name)
+        )
         if given.refusal is not None:
             render_outcome(response, request_id, given.refusal)
             return
--- a/packages/geraniumlead-server/src/geraniumlead_server/driver.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/driver.py
@@ -8,15 +8,15 @@
 from geraniumlead.actions import (
     Action,
     AnswerCaller,
+    AnswerTicketRequest,
     CallUpstream,
     CancelCall,
-    GiveTicket,
     ReadPlatform,
     Report,
     SendToPeer,
     StopNow,
 )
-from geraniumlead.events import CallerGone, Event, QueryArrived, TicketAsked, TimerFired
+from geraniumlead.events import CallerDisconnected, Event, QueryArrived, TicketRequested, TimerFired
 from geraniumlead.instance import Instance
 from geraniumlead.requests import CallerRequest
 
@@ -61,7 +61,7 @@
             observe(event.request)
         return await self._wait(event.request.request_id, event)
 
-    async def ask_ticket(self, event: TicketAsked) -> GiveTicket:
+    async def ask_ticket(self, event: TicketRequested) -> AnswerTicketRequest:
         """Wait for a ticket."""
         return await self._wait(event.request_id, event)
 
@@ -72,7 +72,7 @@
             self.handle(event)
             return await future
         except asyncio.CancelledError:
-            self.handle(CallerGone(request_id))
+            self.handle(CallerDisconnected(request_id))
             raise
         finally:
             self._waiting.pop(request_id, None)
@@ -84,7 +84,7 @@
                     for observe in self.observers:
                         observe(action, self.now_ms())
                     self._resolve(request_id, action)
-                case GiveTicket(request_id=request_id):
+                case AnswerTicketRequest(request_id=request_id):
                     self._resolve(request_id, action)
                 case Report(name=name, fields=fields, level=level):
                     logger.log(logging.getLevelName(level.upper()), name, extra={"fields": fields})
@@ -93,7 +93,7 @@
                 case CallUpstream() | CancelCall() | SendToPeer() | ReadPlatform():
                     self._carry_out(action)
 
-    def _resolve(self, request_id: str, action: AnswerCaller | GiveTicket) -> None:
+    def _resolve(self, request_id: str, action: AnswerCaller | AnswerTicketRequest) -> None:
         future = self._waiting.get(request_id)
         if future is not None and not future.done():
             future.set_result(action)
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_client/client.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_client/client.py
@@ -8,7 +8,7 @@
 from msgspec.json import Decoder
 
 from geraniumlead.documents import VersionedValue
-from geraniumlead.events import DocumentsReceived, PlatformSilent
+from geraniumlead.events import DocumentsReceived, PlatformReadFailed
 from geraniumlead_server.backoff import Backoff
 from geraniumlead_server.platform_client.call_budget import CallBudget
 from geraniumlead_server.platform_client.errors import PLATFORM_ERRORS
@@ -39,7 +39,7 @@
     def __init__(
         self,
         addresses: list[str],
-        report: Callable[[DocumentsReceived | PlatformSilent], None],
+        report: Callable[[DocumentsReceived | PlatformReadFailed], None],
         random: Random,
     ) -> None:
         self._addresses = random.sample(addresses, len(addresses))
@@ -86,7 +86,7 @@
                 backoff.reset()
                 await self._watch_and_check(address, seen)
             except PLATFORM_ERRORS as error:
-                self._report(PlatformSilent(f"{address}: {type(error).__name__}"))
+                self._report(PlatformReadFailed(f"{address}: {type(error).__name__}"))
             await asyncio.sleep(backoff.next_pause_s())
 
     async def _read_anywhere(self, read_number: int) -> None:
@@ -96,7 +96,7 @@
                 await self._read(address, read_number)
                 return
             except PLATFORM_ERRORS as error:
-                self._report(PlatformSilent(f"{address}: {type(error).__name__}"))
+                self._report(PlatformReadFailed(f"{address}: {type(error).__name__}"))
 
     async def _read(self, address: str, read_number: int) -> SeenKeys:
         found = await self._range(address, prefix_range())
--- a/packages/geraniumlead-server/tests/server_tests/platform_client/test_client.py
+++ b/packages/geraniumlead-server/tests/server_tests/platform_client/test_client.py
@@ -7,7 +7,7 @@
 
 from aiohttp import web
 
-from geraniumlead.events import DocumentsReceived, PlatformSilent
+from geraniumlead.events import DocumentsReceived, PlatformReadFailed
 from geraniumlead_server.platform_client import PlatformClient, client
 from geraniumlead_standins.platform.app import PlatformApp
 from geraniumlead_standins.platform.faults import PlatformFaults
@@ -28,7 +28,7 @@
         port = find_free_port()
         await web.TCPSite(self.runner, "127.0.0.1", port).start()
         self.address = f"127.0.0.1:{port}"
-        self.events: list[DocumentsReceived | PlatformSilent] = []
+        self.events: list[DocumentsReceived | PlatformReadFailed] = []
         self.client = PlatformClient([self.address], self.events.append, Random(1))
         self.enterContext(patch.object(client, "CHECK_INTERVAL_S", 0.05))
 
@@ -107,7 +107,7 @@
         self.platform.faults = PlatformFaults(over_budget=True)
         self.client.watch(1)
         await self.wait_for(lambda: self.events)
-        self.assertIsInstance(self.events[0], PlatformSilent)
+        self.assertIsInstance(self.events[0], PlatformReadFailed)
         self.platform.faults = PlatformFaults()
         await self.wait_for(lambda: self.values())
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/crash_variants.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/crash_variants.py
@@ -11,11 +11,11 @@
 
     __slots__ = ()
 
-    def first_step(self, plan: QueryPlan, fingerprint: int) -> CanaryPlan | None:
+    def plan_canary(self, plan: QueryPlan, fingerprint: int) -> CanaryPlan | None:
         """Return None."""
         return None
 
-    def note_lost(self, query, upstream_id, open_queries, now_ms) -> bool:
+    def record_connection_loss(self, query, upstream_id, open_queries, now_ms) -> bool:
         """Return True."""
         return True
 
@@ -25,7 +25,7 @@
 
     __slots__ = ()
 
-    def first_step(self, plan: QueryPlan, fingerprint: int) -> CanaryPlan | None:
+    def plan_canary(self, plan: QueryPlan, fingerprint: int) -> CanaryPlan | None:
         """Return None."""
         return None
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/load_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/load_run.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from geraniumlead.actions import AnswerCaller, CallUpstream, GiveTicket
+from geraniumlead.actions import AnswerCaller, AnswerTicketRequest, CallUpstream
 from geraniumlead.events import QueryArrived
 from geraniumlead.requests import Answered, CallerRequest, NotRun
 from geraniumlead_standins.bench.result_row import ResultRow
@@ -110,7 +110,9 @@
             more={"failed": len(chosen) - len(answered) - not_run, **more},
         )
 
-    def _take_answer(self, name: str, action: AnswerCaller | GiveTicket, now_ms: float) -> None:
+    def _take_answer(
+        self, name: str, action: AnswerCaller | AnswerTicketRequest, now_ms: float
+    ) -> None:
         if isinstance(action, AnswerCaller):
             latency_ms = now_ms - action.arrived_ms
             self.answers.append(
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/state_memory.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/state_memory.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from geraniumlead.events import QueryArrived
-from geraniumlead.tickets import TicketBook
+from geraniumlead.tickets import TicketRegistry
 from geraniumlead_standins.capacity.decision_cluster import build_driver, build_instance
 from geraniumlead_standins.capacity.decision_cpu import build_request
 from geraniumlead_standins.capacity.echo_driver import EchoDriver
@@ -61,8 +61,8 @@
     return held
 
 
-def _issue_tickets(count: int) -> TicketBook:
-    book = TicketBook("noord-0", "a1b2c3d4e5f6", 60_000.0, Random(1))
+def _issue_tickets(count: int) -> TicketRegistry:
+    book = TicketRegistry("noord-0", "a1b2c3d4e5f6", 60_000.0, Random(1))
     for _ in range(count):
         book.issue("customer-0", "booking", 0.0)
     return book
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/caller_crowd.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/caller_crowd.py
@@ -5,8 +5,8 @@
 
 from msgspec.json import decode, encode
 
-from geraniumlead.actions import AnswerCaller, GiveTicket
-from geraniumlead.events import CallerGone, QueryArrived, TicketAsked
+from geraniumlead.actions import AnswerCaller, AnswerTicketRequest
+from geraniumlead.events import CallerDisconnected, QueryArrived, TicketRequested
 from geraniumlead.requests import Answered, CallerRequest, Failed, NotRun, Outcome, Unknown
 from geraniumlead_standins.histories.balancer import Balancer
 from geraniumlead_standins.histories.open_request import OpenRequest
@@ -47,7 +47,7 @@
         request_id = f"t{next(self._numbers)}"
         self._ticket_asks[request_id] = operation
         name = self._balancer.choose()
-        event = TicketAsked(request_id, CUSTOMER, operation.class_name)
+        event = TicketRequested(request_id, CUSTOMER, operation.class_name)
         self._later(ONE_WAY_MS, lambda: self._run.deliver(name, event))
         self._later(GRACE_MS, lambda: self._ask_ticket_again(request_id))
 
@@ -108,11 +108,13 @@
         )
         self._run.deliver(request.instance, QueryArrived(asked))
         if request.is_closed:
-            self._run.deliver(request.instance, CallerGone(request.request_id))
+            self._run.deliver(request.instance, CallerDisconnected(request.request_id))
 
-    def _take_answer(self, name: str, action: AnswerCaller | GiveTicket, now_ms: float) -> None:
+    def _take_answer(
+        self, name: str, action: AnswerCaller | AnswerTicketRequest, now_ms: float
+    ) -> None:
         match action:
-            case GiveTicket(request_id=request_id, ticket=ticket):
+            case AnswerTicketRequest(request_id=request_id, ticket=ticket):
                 operation = self._ticket_asks.pop(request_id, None)
                 if operation is not None and ticket is not None:
                     operation.ticket = ticket
@@ -163,14 +165,14 @@
         if not request.is_closed:
             self._close(request, "lost", reason="timeout")
             request.has_timed_out = True
-            self._run.deliver(request.instance, CallerGone(request.request_id))
+            self._run.deliver(request.instance, CallerDisconnected(request.request_id))
 
     def _hang_up(self, request: OpenRequest) -> None:
         if request.is_closed:
             return
         request.is_closed = request.has_timed_out = True
         self._run.recorder.note(CALLER, "dropped", request_id=request.request_id)
-        self._run.deliver(request.instance, CallerGone(request.request_id))
+        self._run.deliver(request.instance, CallerDisconnected(request.request_id))
         self._send_again_later(request.operation)
 
     def _lose_requests(self, name: str) -> None:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/key_owner_variant.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/key_owner_variant.py
@@ -25,7 +25,7 @@
 
 def _is_settled_by_owner(self: RequestHandler, request: CallerRequest, now_ms: float) -> bool:
     parts, key = self._parts, request.ticket or ""
-    desk, book = parts.tickets, parts.tickets._book
+    desk, book = parts.tickets, parts.tickets._registry
     lists = parts.store.view.instances.values()
     names = [entry.instance_id for entries in lists for entry in entries]
     owner_id = rank_by_rendezvous(key, names)[0] if names else parts.settings.instance_id
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/plain_variants.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/plain_variants.py
@@ -12,9 +12,9 @@
 from geraniumlead.coordination import QueryCoordinator
 from geraniumlead.coordination.open_query import OpenQuery
 from geraniumlead.instance.lifecycle import Lifecycle
-from geraniumlead.instance.ticket_desk import TicketDesk
+from geraniumlead.instance.ticket_handler import TicketHandler
 from geraniumlead.requests import Coverage, NotRun, RefusalReason, Unknown
-from geraniumlead.tickets import TicketBook
+from geraniumlead.tickets import TicketRegistry
 from geraniumlead.upstreams import Records
 
 
@@ -25,7 +25,7 @@
     def is_same_shard(self, query, shard, answer: Records) -> bool:
         return answer.shard == shard.plan.shard
 
-    with patch.object(QueryCoordinator, "_is_of_plan", is_same_shard):
+    with patch.object(QueryCoordinator, "_matches_plan", is_same_shard):
         yield
 
 
@@ -74,7 +74,7 @@
 @contextmanager
 def match_answers_in_order() -> Iterator[None]:
     """Where several calls are out at an upstream, give the newest answer to the next of them."""
-    original = QueryCoordinator._take_answer
+    original = QueryCoordinator._handle_answer
     kept: dict[tuple[int, str], Records] = {}
 
     def take_answer(self, call, answer, now_ms):
@@ -86,7 +86,7 @@
                 answer = previous
         return original(self, call, answer, now_ms)
 
-    with patch.object(QueryCoordinator, "_take_answer", take_answer):
+    with patch.object(QueryCoordinator, "_handle_answer", take_answer):
         yield
 
 
@@ -108,10 +108,10 @@
 def run_each_arrival() -> Iterator[None]:
     """Run a booking whenever and wherever it arrives."""
     with (
-        patch.object(TicketDesk, "is_own", lambda self, ticket: True),
-        patch.object(TicketDesk, "claim", lambda self, request, now_ms: None),
-        patch.object(TicketDesk, "join_running", lambda self, request: False),
-        patch.object(TicketBook, "start", lambda self, ticket: None),
+        patch.object(TicketHandler, "is_own", lambda self, ticket: True),
+        patch.object(TicketHandler, "claim", lambda self, request, now_ms: None),
+        patch.object(TicketHandler, "join_running", lambda self, request: False),
+        patch.object(TicketRegistry, "start", lambda self, ticket: None),
     ):
         yield
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/recorded_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/recorded_run.py
@@ -110,7 +110,7 @@
 
     def _note_action(self, name: str, action: Action, now_ms: float) -> None:
         match action:
-            case StopNow(cut_off_requests=cut_off):
+            case StopNow(unfinished_requests=cut_off):
                 self._exits[name] = cut_off
             case Report(name="configuration_in_force"):
                 parts = self.instances[name].instance.parts
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/virtual_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/virtual_run.py
@@ -6,9 +6,9 @@
 from geraniumlead.actions import (
     Action,
     AnswerCaller,
+    AnswerTicketRequest,
     CallUpstream,
     CancelCall,
-    GiveTicket,
     ReadPlatform,
     SendToPeer,
     StopNow,
@@ -17,7 +17,7 @@
     DocumentsReceived,
     Event,
     PeerMessageReceived,
-    PlatformSilent,
+    PlatformReadFailed,
     TimerFired,
     UpstreamAnswered,
     UpstreamDisconnected,
@@ -37,7 +37,7 @@
 WATCH_CHECK_MS = 1_000.0
 """A watcher asks at this interval whether its watch missed anything, as the client does."""
 
-AnswerObserver = Callable[[str, AnswerCaller | GiveTicket, float], None]
+AnswerObserver = Callable[[str, AnswerCaller | AnswerTicketRequest, float], None]
 
 
 class VirtualRun:
@@ -164,7 +164,7 @@
                     self._cancel_call(name, call_id)
                 case SendToPeer():
                     self._send_to_peer(name, action)
-                case AnswerCaller() | GiveTicket():
+                case AnswerCaller() | AnswerTicketRequest():
                     self.on_answer(name, action, self.now_ms)
                 case ReadPlatform():
                     self._read_platform(name, action)
@@ -259,7 +259,7 @@
         if host.watch_number != number or not host.is_alive:
             return
         if not self._is_platform_reachable(name):
-            self.deliver(name, PlatformSilent("no answer"))
+            self.deliver(name, PlatformReadFailed("no answer"))
             if not action.watch:
                 return
             again_ms = self.now_ms + PLATFORM_RETRY_MS
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_start.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_start.py
@@ -2,7 +2,7 @@
 
 from unittest import TestCase
 
-from geraniumlead.events import TicketAsked
+from geraniumlead.events import TicketRequested
 from geraniumlead.requests import Answered, RefusalReason
 from geraniumlead_standins.virtual.small_cluster import ClusterSize
 from standins_tests.membership.builders import SETTLED_MS, RecordedCluster
@@ -55,7 +55,7 @@
         self.assertEqual(RefusalReason.OUT_OF_SERVICE, recorded.outcomes["r1"].reason)
         tickets = []
         recorded.run.on_answer = lambda name, action, now_ms: tickets.append(action)
-        recorded.run.deliver("noord-0", TicketAsked("t1", "acme", "booking"))
+        recorded.run.deliver("noord-0", TicketRequested("t1", "acme", "booking"))
         self.assertEqual(RefusalReason.OUT_OF_SERVICE, tickets[0].refusal.reason)
         recorded.run.platform.is_down = False
         recorded.run_for(3_000.0)
--- a/packages/geraniumlead/src/geraniumlead/actions/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/actions/__init__.py
@@ -1,10 +1,10 @@
-"""Define what an instance asks its surroundings to do."""
+"""Actions that an instance returns for its driver to carry out."""
 
 from geraniumlead.actions.action import Action
 from geraniumlead.actions.answer_caller import AnswerCaller
+from geraniumlead.actions.answer_ticket_request import AnswerTicketRequest
 from geraniumlead.actions.call_upstream import CallUpstream
 from geraniumlead.actions.cancel_call import CancelCall
-from geraniumlead.actions.give_ticket import GiveTicket
 from geraniumlead.actions.read_platform import ReadPlatform
 from geraniumlead.actions.report import Report
 from geraniumlead.actions.send_to_peer import SendToPeer
@@ -13,9 +13,9 @@
 __all__ = [
     "Action",
     "AnswerCaller",
+    "AnswerTicketRequest",
     "CallUpstream",
     "CancelCall",
-    "GiveTicket",
     "ReadPlatform",
     "Report",
     "SendToPeer",
--- a/packages/geraniumlead/src/geraniumlead/actions/answer_caller.py
+++ b/packages/geraniumlead/src/geraniumlead/actions/answer_caller.py
@@ -1,5 +1,3 @@
-"""Define the final answer to a caller."""
-
 from dataclasses import dataclass
 
 from geraniumlead.requests.outcomes import Outcome
@@ -7,10 +5,10 @@
 
 @dataclass(slots=True, frozen=True)
 class AnswerCaller:
-    """Give a request its one final outcome.
+    """Send the final outcome of a request to its caller.
 
-    ``queued_ms`` is the time before the first subquery was sent, ``subqueries`` how many
-    were sent, ``extra_subqueries`` how many of them were hedges, retries or canaries.
+    ``queued_ms`` is the time before the first subquery was sent, ``subqueries`` the number
+    sent, and ``extra_subqueries`` the number of hedges, retries and canaries among them.
     """
 
     request_id: str
--- a/packages/geraniumlead/src/geraniumlead/actions/give_ticket.py
+++ b/packages/geraniumlead/src/geraniumlead/actions/answer_ticket_request.py
@@ -1,13 +1,11 @@
-"""Define the answer to a wish for a ticket."""
-
 from dataclasses import dataclass
 
 from geraniumlead.requests.outcomes import NotRun
 
 
 @dataclass(slots=True, frozen=True)
-class GiveTicket:
-    """Give a caller a ticket and the time for which it holds, or refuse it."""
+class AnswerTicketRequest:
+    """Send a caller a ticket and the time for which it is valid, or a refusal."""
 
     request_id: str
     ticket: str | None
--- a/packages/geraniumlead/src/geraniumlead/actions/call_upstream.py
+++ b/packages/geraniumlead/src/geraniumlead/actions/call_upstream.py
@@ -1,5 +1,3 @@
-"""Define a call to an upstream."""
-
 from dataclasses import dataclass
 
 from geraniumlead.upstreams.subquery import Subquery
@@ -7,7 +5,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallUpstream:
-    """Send a subquery to an upstream's address and report its end as UpstreamAnswered.
+    """Send a subquery to an upstream's address and report the result as UpstreamAnswered.
 
     The call must end within ``timeout_ms``. After ``overdue_ms``, if set, it may be ended as
     TimedOut with ``silent_connection`` when the upstream has meanwhile answered on another
--- a/packages/geraniumlead/src/geraniumlead/actions/cancel_call.py
+++ b/packages/geraniumlead/src/geraniumlead/actions/cancel_call.py
@@ -1,10 +1,8 @@
-"""Define the cancellation of a call."""
-
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class CancelCall:
-    """End a call whose answer is no longer wanted; no UpstreamAnswered follows."""
+    """Cancel a call whose answer is no longer needed; no UpstreamAnswered follows."""
 
     call_id: str
--- a/packages/geraniumlead/src/geraniumlead/actions/read_platform.py
+++ b/packages/geraniumlead/src/geraniumlead/actions/read_platform.py
@@ -1,5 +1,3 @@
-"""Define the wish to read the platform."""
-
 from dataclasses import dataclass
 
 
@@ -7,8 +5,8 @@
 class ReadPlatform:
     """Start or stop reading the platform.
 
-    ``watch`` keeps a waiting watch open; otherwise one full read is made. ``read_number``
-    comes back with the documents, and only with a read that was begun after this action.
+    ``watch`` keeps a watch open; otherwise one full read is made. ``read_number`` is returned
+    with the documents, and only by a read that began after this action.
     """
 
     watch: bool
--- a/packages/geraniumlead/src/geraniumlead/actions/report.py
+++ b/packages/geraniumlead/src/geraniumlead/actions/report.py
@@ -1,11 +1,9 @@
-"""Define a line for the log."""
-
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """Report a decision worth a log line; ``fields`` are plain JSON values."""
+    """Write a log line; ``fields`` are plain JSON values."""
 
     name: str
     fields: dict = field(default_factory=dict)
--- a/packages/geraniumlead/src/geraniumlead/actions/send_to_peer.py
+++ b/packages/geraniumlead/src/geraniumlead/actions/send_to_peer.py
@@ -1,5 +1,3 @@
-"""Define a message to a peer."""
-
 from dataclasses import dataclass
 
 from geraniumlead.peers.messages import PeerMessage
@@ -7,7 +5,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendToPeer:
-    """Send a message to an instance; it may be lost, and is never repeated below."""
+    """Send a message to an instance; it may be lost, and the transport never resends it."""
 
     instance_id: str
     address: str
--- a/packages/geraniumlead/src/geraniumlead/actions/stop_now.py
+++ b/packages/geraniumlead/src/geraniumlead/actions/stop_now.py
@@ -1,10 +1,8 @@
-"""Define the end of a graceful shutdown."""
-
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class StopNow:
-    """All work in hand has ended, or its bound has passed: the process may exit."""
+    """Exit the process: all work in progress is done, or the time limit has passed."""
 
-    cut_off_requests: int
+    unfinished_requests: int
--- a/packages/geraniumlead/src/geraniumlead/coordination/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/__init__.py
@@ -1,14 +1,14 @@
-"""Coordinate a query over its shards and merge one true answer."""
+"""Distribute a query over its shards and merge their answers into one outcome."""
 
 from geraniumlead.coordination.coordinator import QueryCoordinator
 from geraniumlead.coordination.crash_guard import CrashGuard
-from geraniumlead.coordination.steps import AskUpstream, CoordinationStep, DropCall, EndQuery
+from geraniumlead.coordination.steps import CancelSubquery, CoordinationStep, EndQuery, SendSubquery
 
 __all__ = [
-    "AskUpstream",
+    "CancelSubquery",
     "CoordinationStep",
     "CrashGuard",
-    "DropCall",
     "EndQuery",
     "QueryCoordinator",
+    "SendSubquery",
 ]
--- a/packages/geraniumlead/src/geraniumlead/coordination/budget_book.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/budget_registry.py
@@ -1,11 +1,9 @@
-"""Keep the budgets of extra subqueries by class."""
-
 from geraniumlead.coordination.open_query import OpenQuery
 from geraniumlead.coordination.retry_budget import RetryBudget
 
 
-class BudgetBook:
-    """Hold a budget for retries and one for hedges for each class of each contract."""
+class BudgetRegistry:
+    """A registry of budgets for retries and for hedges, by class of each contract."""
 
     __slots__ = ("_hedges", "_retries")
 
@@ -14,16 +12,16 @@
         self._hedges: dict[tuple[str, str], RetryBudget] = {}
 
     def earn(self, query: OpenQuery) -> None:
-        """Add what the first subqueries of a query allow."""
+        """Credit both budgets for the first subqueries of a query."""
         self.retries_of(query).earn(len(query.shards))
         self.hedges_of(query).earn(len(query.shards))
 
     def retries_of(self, query: OpenQuery) -> RetryBudget:
-        """Return the budget for asking again after a failure."""
+        """Return the budget for retries after a failure."""
         return _find(self._retries, query, query.traffic_class.retry_share)
 
     def hedges_of(self, query: OpenQuery) -> RetryBudget:
-        """Return the budget for asking a second replica while the first is late."""
+        """Return the budget for hedges, sent to a second replica while the first is late."""
         return _find(self._hedges, query, query.traffic_class.hedge_share)
 
 
--- a/packages/geraniumlead/src/geraniumlead/coordination/call_book.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/call_tracker.py
@@ -1,11 +1,9 @@
-"""Send the subqueries of open queries and remember which are out."""
-
 from collections.abc import Iterator
 
 from geraniumlead.coordination.open_call import OpenCall
 from geraniumlead.coordination.open_query import OpenQuery
 from geraniumlead.coordination.shard_state import ShardState
-from geraniumlead.coordination.steps import AskUpstream, CoordinationStep, DropCall
+from geraniumlead.coordination.steps import CancelSubquery, CoordinationStep, SendSubquery
 from geraniumlead.routing.route import Route
 from geraniumlead.routing.router import Router
 from geraniumlead.tail.straggler_clock import StragglerClock
@@ -13,8 +11,11 @@
 from geraniumlead.upstreams.subquery import Subquery
 
 
-class CallBook:
-    """Tie every call that is out to its shard, and tell the router what comes of it."""
+class CallTracker:
+    """Sends the subqueries of open queries and tracks the calls in progress.
+
+    It maps every open call to its shard and reports the results to the router.
+    """
 
     __slots__ = ("_calls", "_clock", "_next_call", "_prefix", "_router")
 
@@ -25,14 +26,14 @@
         self._calls: dict[str, OpenCall] = {}
         self._next_call = 0
 
-    def ask_shard(
-        self, query: OpenQuery, shard: ShardState, now_ms: float, only_good: bool = False
-    ) -> list[AskUpstream]:
-        """Send a subquery to the best replica that was not tried; empty when there is none."""
+    def send_subquery(
+        self, query: OpenQuery, shard: ShardState, now_ms: float, only_healthy: bool = False
+    ) -> list[SendSubquery]:
+        """Send a subquery to the best untried replica; return no step if there is none."""
         if query.request.deadline_ms <= now_ms:
             return []
         is_long = query.traffic_class.long_running
-        route = self._router.choose(shard.plan.replicas, shard.tried, now_ms, is_long, only_good)
+        route = self._router.choose(shard.plan.replicas, shard.tried, now_ms, is_long, only_healthy)
         if route is None:
             return []
         step = self._send(query, shard, route, now_ms)
@@ -44,19 +45,19 @@
         return [step]
 
     def queries_at(self, upstream_id: str) -> Iterator[OpenQuery]:
-        """Return the queries with a call at an upstream; a look at every call that is out."""
+        """Return the queries with an open call to an upstream; scans all open calls."""
         return (
             call.query for call in self._calls.values() if call.route.upstream_id == upstream_id
         )
 
     def has_suspects(self) -> bool:
-        """Return whether a replica is suspected and may want a probe."""
+        """Return whether any upstream is suspected and may need a probe."""
         return bool(self._router.suspected())
 
     def probe_suspect(
         self, query: OpenQuery, shard: ShardState, now_ms: float
-    ) -> list[AskUpstream]:
-        """Send the subquery also to a suspected replica, to see whether it has recovered."""
+    ) -> list[SendSubquery]:
+        """Send the subquery also to a suspected replica, to check whether it has recovered."""
         route = self._router.take_probe(shard.plan.replicas, shard.tried, now_ms)
         if route is None:
             return []
@@ -65,8 +66,8 @@
         query.extra_subqueries += 1
         return [step]
 
-    def take(self, call_id: str, answer: UpstreamAnswer, now_ms: float) -> OpenCall | None:
-        """Take a call out that ended; None when nobody waits for it."""
+    def finish(self, call_id: str, answer: UpstreamAnswer, now_ms: float) -> OpenCall | None:
+        """Remove and return a call that ended; return None for a probe or a call not open."""
         call = self._calls.pop(call_id, None)
         if call is None:
             return None
@@ -80,11 +81,12 @@
         call.shard.call_ids.remove(call_id)
         return call
 
-    def find_at_lost_owners(self, now_ms: float) -> list[str]:
-        """Return the calls through owners that can't be reached any more.
+    def find_calls_at_lost_owners(self, now_ms: float) -> list[str]:
+        """Return the open calls through owners that are no longer reachable.
 
-        A look at every call that is out, for once a heartbeat. Non-idempotent calls stay: the
-        owner may have run them, and only their own deadline makes the outcome unknown.
+        This scans all open calls, so it is called once per heartbeat. Non-idempotent calls are
+        left out: the owner may have run them, and their outcome becomes unknown only at their
+        own deadline.
         """
         owners = {call.route.owner_id for call in self._calls.values()} - {None}
         lost = {name for name in owners if not self._router.reaches(name, now_ms)}
@@ -96,46 +98,46 @@
             if call.route.owner_id in lost and call.query.traffic_class.idempotent
         ]
 
-    def is_out(self, call_id: str) -> bool:
-        """Return whether somebody still waits for a call."""
+    def is_open(self, call_id: str) -> bool:
+        """Return whether a call is still open."""
         return call_id in self._calls
 
-    def allow_again(self, call_id: str) -> None:
-        """Let a call's upstream be tried again: its owner was at fault."""
+    def allow_retry(self, call_id: str) -> None:
+        """Allow a call's upstream to be tried again, as its owner was at fault."""
         call = self._calls[call_id]
         call.shard.tried.discard(call.route.upstream_id)
 
-    def note_overdue(self, shard: ShardState, now_ms: float) -> None:
-        """Tell the router of a shard whose latest call is late."""
+    def record_overdue(self, shard: ShardState, now_ms: float) -> None:
+        """Mark a shard as overdue and report its latest call to the router."""
         shard.is_overdue = True
         call = self._calls[shard.call_ids[-1]]
         self._router.note_overdue(call.route.upstream_id, now_ms)
 
-    def drop_shard(self, shard: ShardState, now_ms: float) -> list[CoordinationStep]:
-        """Cancel the calls that are out for a shard."""
+    def cancel_shard(self, shard: ShardState, now_ms: float) -> list[CoordinationStep]:
+        """Cancel the open calls for a shard."""
         steps: list[CoordinationStep] = []
         for call_id in shard.call_ids:
             call = self._calls[call_id]
-            # Without the late ones that lost to a hedge, the quantile would sink from window
-            # to window, and ever more subqueries would count as late.
+            # Late calls that a hedge overtook are recorded too. Without them the quantile would
+            # fall from window to window, and more and more subqueries would count as late.
             if shard.sent_count > 1 and call.sent_ms < shard.sent_ms:
                 service = call.query.plan.service
                 self._clock.record(service, now_ms - call.sent_ms, now_ms)
-            steps.append(self._drop(call_id, now_ms))
+            steps.append(self._cancel(call_id, now_ms))
         shard.call_ids.clear()
         return steps
 
-    def drop_query(self, query: OpenQuery, now_ms: float) -> list[CoordinationStep]:
-        """Cancel everything that is out for a query."""
-        steps = [step for shard in query.shards for step in self.drop_shard(shard, now_ms)]
-        steps += [self._drop(call_id, now_ms) for call_id in query.probe_ids]
+    def cancel_query(self, query: OpenQuery, now_ms: float) -> list[CoordinationStep]:
+        """Cancel all open calls of a query, probes included."""
+        steps = [step for shard in query.shards for step in self.cancel_shard(shard, now_ms)]
+        steps += [self._cancel(call_id, now_ms) for call_id in query.probe_ids]
         query.probe_ids.clear()
         return steps
 
-    def _drop(self, call_id: str, now_ms: float) -> DropCall:
+    def _cancel(self, call_id: str, now_ms: float) -> CancelSubquery:
         call = self._calls.pop(call_id)
         self._router.note_cancelled(call.route.upstream_id, now_ms - call.sent_ms, now_ms)
-        return DropCall(call_id, call.route)
+        return CancelSubquery(call_id, call.route)
 
     def _send(
         self,
@@ -144,7 +146,7 @@
         route: Route,
         now_ms: float,
         is_probe: bool = False,
-    ) -> AskUpstream:
+    ) -> SendSubquery:
         self._next_call += 1
         call_id = f"{self._prefix}{self._next_call}"
         self._calls[call_id] = OpenCall(query, shard, route, now_ms, is_probe)
@@ -167,4 +169,4 @@
             fingerprint=query.fingerprint,
             attempt=shard.sent_count + 1,
         )
-        return AskUpstream(subquery, route)
+        return SendSubquery(subquery, route)
--- a/packages/geraniumlead/src/geraniumlead/coordination/crash_guard.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/crash_guard.py
@@ -1,5 +1,3 @@
-"""Send unproven queries to one shard first, and stop retries of what crashes upstreams."""
-
 from collections.abc import Iterable
 
 from geraniumlead.configuration.cluster_view import ClusterView
@@ -13,51 +11,54 @@
 
 
 class CrashGuard:
-    """Tie the queries of a coordinator to the quarantine book."""
+    """Protects upstreams from queries that crash them.
+
+    Unproven queries go to one shard first, and queries that crash upstreams are not retried.
+    """
 
-    __slots__ = ("_book", "_planner")
+    __slots__ = ("_planner", "_quarantine")
 
-    def __init__(self, book: QuarantineBook, planner: CanaryPlanner) -> None:
-        self._book = book
+    def __init__(self, quarantine: QuarantineBook, planner: CanaryPlanner) -> None:
+        self._quarantine = quarantine
         self._planner = planner
 
     def update(self, view: ClusterView) -> None:
-        """Take over a new view."""
+        """Use a new view."""
         self._planner.update(view)
 
     def identify(self, request: CallerRequest) -> int:
         """Return the fingerprint of a request."""
         return compute_fingerprint(request.customer, request.class_name, request.query)
 
-    def first_step(self, plan: QueryPlan, fingerprint: int) -> CanaryPlan | None:
-        """Return the first step of an unproven query; None when it may go everywhere."""
-        if self._book.is_proven(fingerprint):
+    def plan_canary(self, plan: QueryPlan, fingerprint: int) -> CanaryPlan | None:
+        """Return the canary plan of an unproven query, or None if it may go to all shards."""
+        if self._quarantine.is_proven(fingerprint):
             return None
         return self._planner.cut(plan, fingerprint)
 
-    def note_answered(self, query: OpenQuery, now_ms: float) -> None:
-        """Count a query that an upstream answered."""
-        self._book.note_answered(query.fingerprint, now_ms)
+    def record_answer(self, query: OpenQuery, now_ms: float) -> None:
+        """Record that upstreams answered a query."""
+        self._quarantine.note_answered(query.fingerprint, now_ms)
 
-    def note_lost(
+    def record_connection_loss(
         self, query: OpenQuery, upstream_id: str, open_queries: Iterable[OpenQuery], now_ms: float
     ) -> bool:
-        """Strike a query whose connection was lost; return whether it may be tried again.
+        """Record a strike for a query whose connection was lost; return whether it may be retried.
 
-        ``open_queries`` are those with a call at the upstream. They are looked at once for
-        each crash, however many calls it ended.
+        ``open_queries`` are those with a call to the upstream. They are read once per crash,
+        however many calls it ended.
         """
-        if not self._book.knows_crash(upstream_id, now_ms):
+        if not self._quarantine.knows_crash(upstream_id, now_ms):
             present = {found.fingerprint for found in open_queries}
-            self._book.note_crash(upstream_id, present | {query.fingerprint}, now_ms)
-        if self._book.note_lost(query.fingerprint, upstream_id, now_ms):
+            self._quarantine.note_crash(upstream_id, present | {query.fingerprint}, now_ms)
+        if self._quarantine.note_lost(query.fingerprint, upstream_id, now_ms):
             return False
-        return self._book.may_try_again(query.fingerprint, query.request.deadline_ms, now_ms)
+        return self._quarantine.may_try_again(query.fingerprint, query.request.deadline_ms, now_ms)
 
     def is_quarantined(self, query: OpenQuery, now_ms: float) -> bool:
-        """Return whether the query is quarantined now."""
-        return self._book.remaining_ms(query.fingerprint, now_ms) > 0.0
+        """Return whether a query is quarantined."""
+        return self._quarantine.remaining_ms(query.fingerprint, now_ms) > 0.0
 
     def is_suspected(self, query: OpenQuery) -> bool:
-        """Return whether a crash is held against the query."""
-        return self._book.strikes(query.fingerprint) > 0
+        """Return whether a query has a strike for a crash."""
+        return self._quarantine.strikes(query.fingerprint) > 0
--- a/packages/geraniumlead/src/geraniumlead/coordination/missing.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/missing.py
@@ -1,5 +1,3 @@
-"""Translate the end of a call into the reason why a shard is missing."""
-
 from geraniumlead.requests.reasons import MissingReason
 from geraniumlead.upstreams.answers import (
     Cold,
@@ -13,7 +11,7 @@
 
 
 def missing_reason_of(answer: UpstreamAnswer) -> MissingReason:
-    """Return what a caller is told of a shard whose last call ended like this."""
+    """Return the reason reported to the caller for a shard whose last call ended this way."""
     match answer:
         case Shed():
             return MissingReason.SHED
--- a/packages/geraniumlead/src/geraniumlead/coordination/open_call.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/open_call.py
@@ -1,5 +1,3 @@
-"""Define a subquery that is out."""
-
 from dataclasses import dataclass
 
 from geraniumlead.coordination.open_query import OpenQuery
@@ -9,7 +7,7 @@
 
 @dataclass(slots=True)
 class OpenCall:
-    """Tie a call to its query and shard."""
+    """A call in progress, with its query and shard."""
 
     query: OpenQuery
     shard: ShardState
--- a/packages/geraniumlead/src/geraniumlead/coordination/open_query.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/open_query.py
@@ -1,5 +1,3 @@
-"""Define a query that has no outcome yet."""
-
 from dataclasses import dataclass, field
 
 from geraniumlead.coordination.shard_state import ShardState
@@ -14,10 +12,11 @@
 
 @dataclass(slots=True)
 class OpenQuery:
-    """Hold the plan of a query and what came of its shards.
+    """The plan of a query without an outcome, and the state of its shards.
 
-    ``watched`` holds the shards that may be unresolved, ``parked`` counts those that wait for
-    a replica, and ``check_ms`` is when the stragglers are looked at next.
+    ``monitored`` holds the shards that may be unresolved, ``parked_count`` is the number of
+    shards that wait for a replica, and ``next_check_ms`` is the time of the next check for
+    stragglers.
     """
 
     request: CallerRequest
@@ -25,12 +24,12 @@
     plan: QueryPlan
     started_ms: float
     shards: list[ShardState]
-    unresolved: int
+    unresolved_count: int
     subqueries: int = 0
     extra_subqueries: int = 0
-    watched: list[ShardState] = field(default_factory=list)
-    parked: int = 0
-    check_ms: float = float("inf")
+    monitored: list[ShardState] = field(default_factory=list)
+    parked_count: int = 0
+    next_check_ms: float = float("inf")
     probe_ids: list[str] = field(default_factory=list)
     excluded_versions: set[int] = field(default_factory=set)
     fingerprint: int = 0
@@ -44,21 +43,24 @@
         plan: QueryPlan,
         now_ms: float,
     ) -> "OpenQuery":
-        """Open a query of which nothing was sent yet."""
+        """Create an open query with no subqueries sent."""
         shards = [ShardState(shard) for shard in plan.shards]
         return cls(request, traffic_class, plan, now_ms, shards, len(shards))
 
-    def start_again(self, plan: QueryPlan) -> None:
-        """Throw away all records and take another index version."""
+    def restart(self, plan: QueryPlan) -> None:
+        """Discard all records and switch to the plan of another index version."""
         self.excluded_versions.add(self.plan.index_version)
         self.plan = plan
         self.shards = [ShardState(shard) for shard in plan.shards]
-        self.unresolved = len(self.shards)
-        self.parked = 0
-        self.check_ms = float("inf")
+        self.unresolved_count = len(self.shards)
+        self.parked_count = 0
+        self.next_check_ms = float("inf")
 
     def coverage(self) -> Coverage:
-        """Count the shards that answered; the unresolved are missing for the deadline."""
+        """Return the coverage.
+
+        A shard that is neither resolved nor parked is missing for its deadline.
+        """
         missing = tuple(
             MissingShard(shard.plan.shard, _reason_of(shard))
             for shard in self.shards
@@ -66,8 +68,8 @@
         )
         return Coverage(len(self.shards), len(self.shards) - len(missing), missing)
 
-    def has_least_coverage(self) -> bool:
-        """Return whether what was answered suffices for the caller."""
+    def has_min_coverage(self) -> bool:
+        """Return whether enough shards have answered for the caller."""
         answered = sum(1 for shard in self.shards if shard.records is not None)
         return answered > 0 and answered >= self.request.least_coverage * len(self.shards)
 
@@ -80,4 +82,4 @@
     if shard.missing_reason is not None:
         return shard.missing_reason
     is_parked = shard.parked_until_ms is not None
-    return shard.last_reason if is_parked else MissingReason.DEADLINE
+    return shard.parked_reason if is_parked else MissingReason.DEADLINE
--- a/packages/geraniumlead/src/geraniumlead/coordination/outcome.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/outcome.py
@@ -1,5 +1,3 @@
-"""Say what a query ends with, given what came of its shards."""
-
 from geraniumlead.coordination.open_query import OpenQuery
 from geraniumlead.requests.outcomes import Answered, Failed, NotRun, Outcome, Unknown
 from geraniumlead.requests.reasons import RefusalReason
@@ -8,9 +6,9 @@
 
 
 def decide_outcome(query: OpenQuery) -> Outcome:
-    """Return the true outcome of a query that ends now.
+    """Return the outcome of a query from the state of its shards.
 
-    "Not run" is said of a non-idempotent request only when no call of it is out and no shard
+    A non-idempotent request is reported as "not run" only if it has no open call and no shard
     ran its part.
     """
     coverage = query.coverage()
@@ -18,7 +16,7 @@
         if any(shard.call_ids for shard in query.shards):
             return Unknown("the upstream did not answer in time")
         if coverage.answered_shards:
-            # Refused by some shards, but others ran their part of it.
+            # Some shards refused the request, but others ran their part of it.
             return Unknown("only some of the shards ran the request")
         return NotRun(RefusalReason.UPSTREAM_SHED, SHED_RETRY_AFTER_MS)
     if coverage.answered_shards == 0 or coverage.share < query.request.least_coverage:
--- a/packages/geraniumlead/src/geraniumlead/coordination/retry_budget.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/retry_budget.py
@@ -1,33 +1,31 @@
-"""Bound the extra subqueries of one class of one contract."""
-
-LEAST_BALANCE = 0.0
-MOST_BALANCE = 50.0
+MIN_BALANCE = 0.0
+MAX_BALANCE = 50.0
 
 
 class RetryBudget:
-    """Let retries be a bounded share of the first subqueries.
+    """Limits extra subqueries of a contract's traffic class to a share of its first subqueries.
 
-    Load pattern: an upstream fails or sheds, and each refused subquery is sent again.
-    Without a budget the retries multiply the load just when there is least capacity. The
-    balance is capped so that a quiet hour cannot save up a storm.
+    When an upstream fails or sheds load, each refused subquery is retried. Without a budget,
+    the retries multiply the load when capacity is lowest. The balance is capped so that
+    credit from a long quiet period cannot cause a retry storm.
     """
 
     __slots__ = ("_balance", "share")
 
-    def __init__(self, share: float, balance: float = MOST_BALANCE) -> None:
+    def __init__(self, share: float, balance: float = MAX_BALANCE) -> None:
         self.share = share
         self._balance = balance
 
     def earn(self, count: int) -> None:
-        """Add the share that ``count`` first subqueries allow."""
-        self._balance = min(MOST_BALANCE, self._balance + self.share * count)
+        """Credit the budget for ``count`` first subqueries."""
+        self._balance = min(MAX_BALANCE, self._balance + self.share * count)
 
-    def give_back(self) -> None:
-        """Return what was taken and not used."""
-        self._balance = min(MOST_BALANCE, self._balance + 1.0)
+    def refund(self) -> None:
+        """Return an unused extra subquery to the balance."""
+        self._balance = min(MAX_BALANCE, self._balance + 1.0)
 
     def spend(self) -> bool:
-        """Take one extra subquery from the balance; False when it is used up."""
+        """Take one extra subquery from the balance; return False if the balance is too low."""
         if self._balance < 1.0:
             return False
         self._balance -= 1.0
--- a/packages/geraniumlead/src/geraniumlead/coordination/shard_state.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/shard_state.py
@@ -1,5 +1,3 @@
-"""Define what is known of one shard of an open query."""
-
 from dataclasses import dataclass, field
 
 from geraniumlead.planning.query_plan import ShardPlan
@@ -8,10 +6,11 @@
 
 @dataclass(slots=True)
 class ShardState:
-    """Hold a shard's first answer, or why it has none, and the calls that are out for it.
+    """The state of one shard of an open query.
 
-    ``parked_until_ms`` is set while no replica can be asked and the query can wait;
-    ``last_reason`` is why. ``sent_ms`` is the time of the latest call.
+    It holds the first answer or the reason why there is none, and the open calls.
+    ``parked_until_ms`` is set while no replica is available and the query can wait;
+    ``parked_reason`` is the reason. ``sent_ms`` is the time of the latest call.
     """
 
     plan: ShardPlan
@@ -26,9 +25,9 @@
     is_overdue: bool = False
     parked_until_ms: float | None = None
     parked_count: int = 0
-    last_reason: MissingReason = MissingReason.NO_REPLICA
+    parked_reason: MissingReason = MissingReason.NO_REPLICA
 
     @property
     def is_resolved(self) -> bool:
-        """Return whether nothing more is expected of the shard."""
+        """Return whether the shard has an answer or a final reason for having none."""
         return self.records is not None or self.missing_reason is not None
--- a/packages/geraniumlead/src/geraniumlead/coordination/steps.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/steps.py
@@ -1,4 +1,4 @@
-"""Define what a coordinator asks for."""
+"""Steps that the coordinator returns for its instance to carry out."""
 
 from dataclasses import dataclass
 
@@ -9,15 +9,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AskUpstream:
-    """Send a subquery on its route."""
+class SendSubquery:
+    """Send a subquery along its route."""
 
     subquery: Subquery
     route: Route
 
 
 @dataclass(slots=True, frozen=True)
-class DropCall:
+class CancelSubquery:
     """Cancel a subquery whose answer is no longer wanted."""
 
     call_id: str
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndQuery:
-    """Give a query its outcome."""
+    """Report the outcome of a query."""
 
     request: CallerRequest
     outcome: Outcome
@@ -35,4 +35,4 @@
     extra_subqueries: int
 
 
-CoordinationStep = AskUpstream | DropCall | EndQuery
+CoordinationStep = SendSubquery | CancelSubquery | EndQuery
--- a/packages/geraniumlead/src/geraniumlead/events/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/events/__init__.py
@@ -1,26 +1,26 @@
-"""Define what can happen to an instance."""
+"""Events that an instance handles."""
 
-from geraniumlead.events.caller_gone import CallerGone
+from geraniumlead.events.caller_disconnected import CallerDisconnected
 from geraniumlead.events.documents_received import DocumentsReceived
 from geraniumlead.events.event import Event
 from geraniumlead.events.peer_message_received import PeerMessageReceived
-from geraniumlead.events.platform_silent import PlatformSilent
+from geraniumlead.events.platform_read_failed import PlatformReadFailed
 from geraniumlead.events.query_arrived import QueryArrived
 from geraniumlead.events.stop_requested import StopRequested
-from geraniumlead.events.ticket_asked import TicketAsked
+from geraniumlead.events.ticket_requested import TicketRequested
 from geraniumlead.events.timer_fired import TimerFired
 from geraniumlead.events.upstream_answered import UpstreamAnswered
 from geraniumlead.events.upstream_disconnected import UpstreamDisconnected
 
 __all__ = [
-    "CallerGone",
+    "CallerDisconnected",
     "DocumentsReceived",
     "Event",
     "PeerMessageReceived",
-    "PlatformSilent",
+    "PlatformReadFailed",
     "QueryArrived",
     "StopRequested",
-    "TicketAsked",
+    "TicketRequested",
     "TimerFired",
     "UpstreamAnswered",
     "UpstreamDisconnected",
--- a/packages/geraniumlead/src/geraniumlead/events/documents_received.py
+++ b/packages/geraniumlead/src/geraniumlead/events/documents_received.py
@@ -1,5 +1,3 @@
-"""Define news from the platform."""
-
 from dataclasses import dataclass
 
 from geraniumlead.documents.versioned import VersionedValue
@@ -10,10 +8,10 @@
     """The platform answered a read or watch.
 
     ``is_snapshot`` is set when ``documents`` holds every key, so that a missing key was
-    deleted at or before ``revision``. Without it they are all changes since the read or
-    watch answer before. ``read_number`` is that of the ReadPlatform which it answers, 0 for
-    a watch's news. ``above_revision`` is the revision that a watch's news continue from;
-    None stands for the answer before.
+    deleted at or before ``revision``. Otherwise ``documents`` holds all changes since the
+    previous read or watch response. ``read_number`` is that of the ReadPlatform action that
+    this event answers, or 0 for updates of a watch. ``above_revision`` is the revision after
+    which the updates of a watch start; None stands for that of the previous response.
     """
 
     revision: int
--- a/packages/geraniumlead/src/geraniumlead/events/peer_message_received.py
+++ b/packages/geraniumlead/src/geraniumlead/events/peer_message_received.py
@@ -1,5 +1,3 @@
-"""Define the arrival of a peer's message."""
-
 from dataclasses import dataclass
 
 from geraniumlead.peers.messages import PeerMessage
@@ -7,7 +5,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessageReceived:
-    """A peer, known by its authenticated name, sent a message."""
+    """A peer, identified by its authenticated name, sent a message."""
 
     sender_id: str
     message: PeerMessage
--- a/packages/geraniumlead/src/geraniumlead/events/platform_silent.py
+++ b/packages/geraniumlead/src/geraniumlead/events/platform_read_failed.py
@@ -1,10 +1,8 @@
-"""Define a failed read of the platform."""
-
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
-class PlatformSilent:
+class PlatformReadFailed:
     """A read or watch of the platform failed."""
 
     detail: str
--- a/packages/geraniumlead/src/geraniumlead/events/query_arrived.py
+++ b/packages/geraniumlead/src/geraniumlead/events/query_arrived.py
@@ -1,5 +1,3 @@
-"""Define the arrival of a caller's request."""
-
 from dataclasses import dataclass
 
 from geraniumlead.requests.caller_request import CallerRequest
@@ -7,6 +5,6 @@
 
 @dataclass(slots=True, frozen=True)
 class QueryArrived:
-    """A caller whose credential was checked asks for an answer."""
+    """A request arrived from a caller whose credential was checked."""
 
     request: CallerRequest
--- a/packages/geraniumlead/src/geraniumlead/events/upstream_answered.py
+++ b/packages/geraniumlead/src/geraniumlead/events/upstream_answered.py
@@ -1,5 +1,3 @@
-"""Define the end of a call to an upstream."""
-
 from dataclasses import dataclass
 
 from geraniumlead.upstreams.answers import UpstreamAnswer
@@ -7,7 +5,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UpstreamAnswered:
-    """A call that this instance made ended, in whatever way."""
+    """A call from this instance to an upstream ended, successfully or not."""
 
     call_id: str
     answer: UpstreamAnswer
--- a/packages/geraniumlead/src/geraniumlead/events/upstream_disconnected.py
+++ b/packages/geraniumlead/src/geraniumlead/events/upstream_disconnected.py
@@ -1,13 +1,11 @@
-"""Define the loss of the connections to an upstream."""
-
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class UpstreamDisconnected:
-    """The upstream closed the last connection that this instance held to it, or reset it.
+    """The upstream closed or reset the last connection that this instance held to it.
 
-    No call has to be under way: a restart closes idle connections too.
+    This can happen without a call in progress, as a restart also closes idle connections.
     """
 
     upstream_id: str
--- a/packages/geraniumlead/src/geraniumlead/freshness/held_requests.py
+++ b/packages/geraniumlead/src/geraniumlead/freshness/held_requests.py
@@ -1,22 +1,22 @@
-"""Hold callers' requests while the view is not confirmed."""
-
 from geraniumlead.requests.caller_request import CallerRequest
 
-LEAST_REMAINING_MS = 20.0
-"""Time that a request needs after its hold; below it, only a refusal can come in time."""
+MIN_REMAINING_MS = 20.0
+"""Minimum time that a request needs after being held; with less, only a refusal is possible in
+time."""
 
 
 class HeldRequests:
-    """Let requests wait for the view, in the order of their arrival.
+    """Holds callers' requests in order of arrival until the view is confirmed.
 
-    A confirmation takes one round trip to a peer, so most callers notice nothing. The
-    number is bounded: what a long pause lets pile up must not fill the memory.
+    A confirmation takes one round trip to a peer, so most callers notice nothing. The number
+    of held requests is limited, so that those which accumulate during a long pause cannot
+    exhaust the memory.
     """
 
-    __slots__ = ("_most", "_requests")
+    __slots__ = ("_max_requests", "_requests")
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_requests: int) -> None:
+        self._max_requests = max_requests
         self._requests: dict[str, CallerRequest] = {}
 
     def __len__(self) -> int:
@@ -24,36 +24,39 @@
         return len(self._requests)
 
     def hold(self, request: CallerRequest, now_ms: float) -> bool:
-        """Hold a request; False when it cannot end in time or there is no place."""
-        if request.deadline_ms - now_ms < LEAST_REMAINING_MS or len(self._requests) >= self._most:
+        """Hold a request; return False if it cannot finish in time or the limit is reached."""
+        if (
+            request.deadline_ms - now_ms < MIN_REMAINING_MS
+            or len(self._requests) >= self._max_requests
+        ):
             return False
         self._requests[request.request_id] = request
         return True
 
     def drop(self, request_id: str) -> bool:
-        """Forget a request whose caller is gone; False when it was not held."""
+        """Discard a request whose caller disconnected; return False if it was not held."""
         return self._requests.pop(request_id, None) is not None
 
     def release(self) -> list[CallerRequest]:
-        """Return all held requests and hold them no longer."""
+        """Remove and return all held requests."""
         released = list(self._requests.values())
         self._requests.clear()
         return released
 
     def expire(self, now_ms: float) -> list[CallerRequest]:
-        """Return the requests that can no longer end in time."""
+        """Remove and return the requests that can no longer finish in time."""
         late = [
             request
             for request in self._requests.values()
-            if request.deadline_ms - now_ms < LEAST_REMAINING_MS
+            if request.deadline_ms - now_ms < MIN_REMAINING_MS
         ]
         for request in late:
             del self._requests[request.request_id]
         return late
 
     def next_wake_ms(self) -> float | None:
-        """Return when the first held request can no longer end in time."""
+        """Return when the first held request can no longer finish in time; None if none is held."""
         if not self._requests:
             return None
         earliest_ms = min(request.deadline_ms for request in self._requests.values())
-        return earliest_ms - LEAST_REMAINING_MS + 0.001
+        return earliest_ms - MIN_REMAINING_MS + 0.001
--- a/packages/geraniumlead/src/geraniumlead/instance/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/__init__.py
@@ -1,4 +1,4 @@
-"""Compose the decisions into one state machine without I/O."""
+"""An entry instance as a state machine without I/O."""
 
 from geraniumlead.instance.instance import Instance
 from geraniumlead.instance.status import InstanceStatus
--- a/packages/geraniumlead/src/geraniumlead/instance/batcher.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/batcher.py
@@ -1,5 +1,3 @@
-"""Collect what goes to each peer until the batching tick."""
-
 from geraniumlead.peers.messages import (
     CancelBatch,
     PeerMessage,
@@ -9,15 +7,15 @@
 )
 from geraniumlead.upstreams.subquery import Subquery
 
-MOST_ITEMS = 512
-"""Items after which a batch goes at once; keeps a message well under a megabyte."""
+MAX_ITEMS = 512
+"""Number of items at which a batch is sent immediately; keeps a message well under 1 MB."""
 
 
 class PeerBatcher:
-    """Put the subqueries, results and cancellations for one peer into one message each.
+    """Collects subqueries, results and cancellations per peer until the next batching tick.
 
-    A message costs tens of microseconds, an item in it less than one, so a query to many
-    shards is only affordable in batches.
+    Each peer gets one message of each kind per tick. A message costs tens of microseconds and
+    an item in it less than one, so a query to many shards is affordable only in batches.
     """
 
     __slots__ = ("_cancels", "_due_ms", "_results", "_subqueries", "_tick_ms")
@@ -30,28 +28,28 @@
         self._cancels: dict[str, list[str]] = {}
 
     def add_subquery(self, peer_id: str, subquery: Subquery, now_ms: float) -> None:
-        """Collect a subquery for its owner."""
+        """Add a subquery for the owner of its upstream."""
         self._subqueries.setdefault(peer_id, []).append(subquery)
-        self._arm(len(self._subqueries[peer_id]), now_ms)
+        self._schedule(len(self._subqueries[peer_id]), now_ms)
 
     def add_result(self, peer_id: str, result: SubqueryResult, now_ms: float) -> None:
-        """Collect an outcome for its coordinator."""
+        """Add a result for the coordinator of its subquery."""
         self._results.setdefault(peer_id, []).append(result)
-        self._arm(len(self._results[peer_id]), now_ms)
+        self._schedule(len(self._results[peer_id]), now_ms)
 
     def add_cancel(self, peer_id: str, call_id: str, now_ms: float) -> None:
-        """Collect a cancellation for an owner."""
+        """Add a cancellation for the owner that runs the call."""
         self._cancels.setdefault(peer_id, []).append(call_id)
-        self._arm(len(self._cancels[peer_id]), now_ms)
+        self._schedule(len(self._cancels[peer_id]), now_ms)
 
-    def take_subqueries(self) -> list[tuple[str, Subquery]]:
-        """Take back the subqueries that were not sent yet, by peer."""
+    def drain_subqueries(self) -> list[tuple[str, Subquery]]:
+        """Remove and return the unsent subqueries, each with its peer."""
         unsent = [(peer, item) for peer, items in self._subqueries.items() for item in items]
         self._subqueries.clear()
         return unsent
 
-    def take_due(self, now_ms: float) -> list[tuple[str, PeerMessage]]:
-        """Return the messages whose tick has come, by peer."""
+    def pop_due(self, now_ms: float) -> list[tuple[str, PeerMessage]]:
+        """Remove and return the messages to send, each with its peer; empty before the tick."""
         if self._due_ms is None or now_ms < self._due_ms:
             return []
         self._due_ms = None
@@ -64,11 +62,11 @@
         return due
 
     def next_wake_ms(self) -> float | None:
-        """Return when the tick comes, or None when nothing was collected."""
+        """Return the time of the next tick, or None if there is nothing to send."""
         return self._due_ms
 
-    def _arm(self, collected: int, now_ms: float) -> None:
-        if collected >= MOST_ITEMS:
+    def _schedule(self, collected: int, now_ms: float) -> None:
+        if collected >= MAX_ITEMS:
             self._due_ms = now_ms
         elif self._due_ms is None:
             self._due_ms = now_ms + self._tick_ms
--- a/packages/geraniumlead/src/geraniumlead/instance/call_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/call_handler.py
@@ -1,8 +1,6 @@
-"""Carry out the steps of the coordinator and the dispatcher."""
-
 from geraniumlead.actions import AnswerCaller, CallUpstream, CancelCall
 from geraniumlead.cold_start import WarmthPhase
-from geraniumlead.coordination import AskUpstream, CoordinationStep, DropCall, EndQuery
+from geraniumlead.coordination import CancelSubquery, CoordinationStep, EndQuery, SendSubquery
 from geraniumlead.dispatch import DispatchStep, EndCall, StartCall, StopCall, TellOwners
 from geraniumlead.events import UpstreamAnswered
 from geraniumlead.instance.held_steps import HeldSteps
@@ -23,7 +21,11 @@
 
 
 class CallHandler:
-    """Move subqueries between coordinator, dispatcher, upstreams and peers."""
+    """Carries out the steps of the coordinator and the dispatcher.
+
+    It passes subqueries, their results and cancellations between the coordinator, the
+    dispatcher, upstreams and peers.
+    """
 
     __slots__ = ("_held", "_parts", "_peer_calls")
 
@@ -34,78 +36,78 @@
 
     @property
     def peer_call_count(self) -> int:
-        """Return how many subqueries of peers wait or run here."""
+        """Return the number of peers' subqueries that are waiting or running on this instance."""
         return len(self._peer_calls)
 
-    def take_answer(self, event: UpstreamAnswered, now_ms: float) -> None:
-        """Take in the end of a call to an upstream."""
+    def handle_answer(self, event: UpstreamAnswered, now_ms: float) -> None:
+        """Process the result of a call to an upstream."""
         steps = self._parts.dispatcher.finish(event.call_id, event.answer, now_ms)
         self.run_dispatch(steps, now_ms)
 
-    def take_subqueries(self, sender_id: str, batch: SubqueryBatch, now_ms: float) -> None:
-        """Run a peer's subqueries on upstreams of this instance."""
+    def handle_subqueries(self, sender_id: str, batch: SubqueryBatch, now_ms: float) -> None:
+        """Run a peer's subqueries on upstreams that this instance owns."""
         if not self._parts.freshness.may_send:
             self._shed_subqueries(sender_id, batch, now_ms)
             return
         if self._parts.lifecycle.is_stopping:
-            # Peers of other data centres learn of the stop when they send work.
+            # Peers in other data centres are told of the shutdown only when they send work.
             self._parts.send(sender_id, Goodbye(self._parts.incarnation))
         for subquery in batch.subqueries:
             self._peer_calls.add(subquery.call_id)
             steps = self._parts.dispatcher.submit(subquery, sender_id, now_ms)
             self.run_dispatch(steps, now_ms)
 
-    def take_results(self, batch: SubqueryResultBatch, now_ms: float) -> None:
-        """Take in the ends of subqueries that a peer ran for this instance."""
+    def handle_results(self, batch: SubqueryResultBatch, now_ms: float) -> None:
+        """Process the results of subqueries that a peer ran for this instance."""
         for result in batch.results:
             steps = self._parts.coordinator.finish_call(result.call_id, result.answer, now_ms)
             self.run_coordination(steps, now_ms)
 
     def cancel(self, call_ids: tuple[str, ...], now_ms: float) -> None:
-        """Cancel a peer's subqueries."""
+        """Cancel subqueries that a peer sent."""
         for call_id in call_ids:
             self._peer_calls.discard(call_id)
             self.run_dispatch(self._parts.dispatcher.cancel(call_id, now_ms), now_ms)
 
-    def hand_over_warmth(self, peer_id: str, now_ms: float) -> None:
-        """Tell a new process which of the upstreams that it owns too were shown warm.
+    def send_warm_upstreams(self, peer_id: str, now_ms: float) -> None:
+        """Tell a restarted peer which upstreams owned by both instances are known to be warm.
 
-        Without this a replaced instance takes every upstream for unproven, and its callers
-        wait for slot holders until each has answered once.
+        Without this, a replaced instance treats every upstream as unproven, and its callers
+        wait for slot holders until each upstream has answered once.
         """
         for upstream_id in self._parts.dispatcher.warm_upstreams_of(peer_id, now_ms):
             self._parts.send(peer_id, UpstreamNotice(upstream_id, WarmthPhase.WARM, 0.0))
 
-    def take_disconnection(self, upstream_id: str, now_ms: float) -> None:
-        """Note that an upstream closed its connections, which a restart does."""
+    def handle_disconnection(self, upstream_id: str, now_ms: float) -> None:
+        """Record that an upstream closed its connections, as it does on a restart."""
         self.run_dispatch(self._parts.dispatcher.note_disconnected(upstream_id, now_ms), now_ms)
 
-    def take_notice(self, notice: UpstreamNotice, now_ms: float) -> None:
-        """Take in what another owner saw of an upstream."""
+    def handle_notice(self, notice: UpstreamNotice, now_ms: float) -> None:
+        """Process the state of an upstream that another owner reported."""
         steps = self._parts.dispatcher.note_told(notice.upstream_id, notice.state, now_ms)
         self.run_dispatch(steps, now_ms)
 
     def wake_dispatch(self, now_ms: float) -> None:
-        """Start the calls that waited for a time to come."""
+        """Start the waiting calls that are due."""
         self.run_dispatch(self._parts.dispatcher.wake(now_ms), now_ms)
 
     def hold_unsent(self, now_ms: float) -> None:
-        """Hold the subqueries that a pause caught before their batch was sent."""
-        for owner_id, subquery in self._parts.batcher.take_subqueries():
+        """Hold the subqueries whose batch had not been sent when the process was paused."""
+        for owner_id, subquery in self._parts.batcher.drain_subqueries():
             route = Route(subquery.upstream_id, owner_id)
-            self._held.hold_ask(AskUpstream(subquery, route), now_ms)
+            self._held.hold_subquery(SendSubquery(subquery, route), now_ms)
 
-    def release(self, now_ms: float) -> None:
-        """Send what was held, where the view allows it now."""
+    def release_held(self, now_ms: float) -> None:
+        """Send the held calls and subqueries that the view still allows; end the others."""
         parts = self._parts
         view = parts.store.view
-        for step, remaining_ms in self._held.take_starts(now_ms):
+        for step, remaining_ms in self._held.drain_calls(now_ms):
             if remaining_ms > 0 and view.is_usable(step.subquery.upstream_id):
                 self._start_call(step, remaining_ms)
                 continue
             ended = parts.dispatcher.finish(step.subquery.call_id, Draining(), now_ms)
             self.run_dispatch(ended, now_ms)
-        for step in self._held.take_asks(now_ms):
+        for step in self._held.drain_subqueries(now_ms):
             if view.is_usable(step.subquery.upstream_id):
                 self.run_coordination([step], now_ms)
                 continue
@@ -113,20 +115,20 @@
             self.run_coordination(ended, now_ms)
 
     def run_coordination(self, steps: list[CoordinationStep], now_ms: float) -> None:
-        """Carry out what the coordinator asks for."""
+        """Carry out the steps that the coordinator returned."""
         parts = self._parts
         for step in steps:
             match step:
-                case AskUpstream() if not parts.freshness.may_send:
-                    self._held.hold_ask(step, now_ms)
-                case AskUpstream(subquery=subquery, route=route):
+                case SendSubquery() if not parts.freshness.may_send:
+                    self._held.hold_subquery(step, now_ms)
+                case SendSubquery(subquery=subquery, route=route):
                     if route.owner_id is None:
                         self.run_dispatch(parts.dispatcher.submit(subquery, None, now_ms), now_ms)
                     else:
                         parts.batcher.add_subquery(route.owner_id, subquery, now_ms)
-                case DropCall(call_id=call_id) if self._held.drop_ask(call_id):
+                case CancelSubquery(call_id=call_id) if self._held.drop_subquery(call_id):
                     pass
-                case DropCall(call_id=call_id, route=route):
+                case CancelSubquery(call_id=call_id, route=route):
                     if route.owner_id is None:
                         stopped = parts.dispatcher.cancel(call_id, now_ms)
                         self.run_dispatch(stopped, now_ms)
@@ -136,18 +138,18 @@
                     self._end_query(step, now_ms)
 
     def run_dispatch(self, steps: list[DispatchStep], now_ms: float) -> None:
-        """Carry out what the dispatcher asks for."""
+        """Carry out the steps that the dispatcher returned."""
         parts = self._parts
         for step in steps:
             match step:
                 case StartCall() if not parts.freshness.may_send:
-                    self._held.hold_start(step, now_ms)
+                    self._held.hold_call(step, now_ms)
                 case StartCall():
                     self._start_call(step, step.timeout_ms)
-                case StopCall(call_id=call_id) if self._held.drop_start(call_id):
+                case StopCall(call_id=call_id) if self._held.drop_call(call_id):
                     pass
                 case TellOwners():
-                    self._tell_owners(step)
+                    self._notify_owners(step)
                 case StopCall(call_id=call_id):
                     parts.actions.append(CancelCall(call_id))
                 case EndCall(origin=None, call_id=call_id, answer=answer):
@@ -165,8 +167,8 @@
         subqueries: int = 0,
         extra_subqueries: int = 0,
     ) -> None:
-        """Give a request its outcome, here or through the peer that holds its caller."""
-        forwarded = self._parts.tickets.take_forwarded(request.request_id, outcome)
+        """Send a request's outcome to its caller, or to the peer that forwarded the request."""
+        forwarded = self._parts.tickets.pop_forwarded_answer(request.request_id, outcome)
         if forwarded is not None:
             sender_id, message = forwarded
             self._answer_peer(sender_id, message)
@@ -184,7 +186,7 @@
             )
         )
 
-    def _tell_owners(self, step: TellOwners) -> None:
+    def _notify_owners(self, step: TellOwners) -> None:
         notice = UpstreamNotice(step.upstream_id, step.phase, 0.0)
         for owner_id in step.owner_ids:
             self._parts.send(owner_id, notice)
@@ -203,14 +205,15 @@
         )
 
     def _shed_subqueries(self, sender_id: str, batch: SubqueryBatch, now_ms: float) -> None:
-        # They may have waited in a socket for as long as this process was frozen, and their
-        # coordinators have other owners: shed at once, they surely did not run.
+        # The subqueries may have waited in a socket for as long as this process was paused, and
+        # their coordinators can use other owners. Shedding them immediately guarantees that
+        # they did not run.
         for subquery in batch.subqueries:
             result = SubqueryResult(subquery.call_id, Shed(STALE_OWNER_RETRY_AFTER_MS))
             self._parts.batcher.add_result(sender_id, result, now_ms)
 
     def _answer_peer(self, sender_id: str, message: TicketedAnswer) -> None:
-        # A peer that is no longer listed gets nothing; its caller learns "unknown" in time.
+        # A peer that is no longer listed gets no answer; its caller gets "unknown" at the deadline.
         self._parts.send(sender_id, message)
 
     def _end_query(self, step: EndQuery, now_ms: float) -> None:
--- a/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
@@ -1,9 +1,7 @@
-"""Take documents from the platform and from peers."""
-
 from geraniumlead.actions import ReadPlatform, Report
 from geraniumlead.configuration import DivergenceWatch, QuestionGate, StoreChange
 from geraniumlead.documents import DocumentKind, document_key
-from geraniumlead.events import DocumentsReceived, PlatformSilent
+from geraniumlead.events import DocumentsReceived, PlatformReadFailed
 from geraniumlead.instance.call_handler import CallHandler
 from geraniumlead.instance.parts import InstanceParts
 from geraniumlead.membership import PlatformContact
@@ -17,20 +15,21 @@
     Probe,
 )
 
-EVERYTHING = -1
-PUSHED_BYTES = 8_192
-"""Size of an update that is sent to every local peer. A larger one would lie in the memory of
-the sender once for each of them, and a newcomer's first read is the whole configuration."""
+ALL_REVISIONS = -1
+MAX_PUSHED_BYTES = 8_192
+"""Largest update that is sent to every local peer. The sender would hold a larger one in memory
+once for each peer, and the first read of a new instance is the whole configuration."""
 
 ANNOUNCED_PEERS = 8
-"""Local peers that are told of a larger one; each fetches it once and tells as many others."""
+"""Number of local peers that are notified of a larger update; each of them fetches it once and
+notifies as many others."""
 
 REREAD_INTERVAL_MS = 2_000.0
-"""Least time between two reads that a watcher begins because a watch left a gap."""
+"""Minimum time between two reads that a watcher starts because its watch missed changes."""
 
 
 class ConfigurationHandler:
-    """Bring accepted documents into force and spread them in the data centre."""
+    """Applies documents from the platform and peers and distributes them in the data centre."""
 
     __slots__ = (
         "_calls",
@@ -40,7 +39,7 @@
         "_questions",
         "_reread_ms",
         "contact",
-        "watching",
+        "is_watching",
     )
 
     def __init__(self, parts: InstanceParts, calls: CallHandler) -> None:
@@ -51,83 +50,82 @@
         self._questions = QuestionGate()
         self._reread_ms = float("-inf")
         self.contact = PlatformContact(parts.random)
-        self.watching = False
+        self.is_watching = False
 
     def start(self) -> None:
-        """Read the platform until the list of instances says who watches it."""
-        self.watching = True
-        self.read_anew()
+        """Watch the platform until the list of instances determines the watchers."""
+        self.is_watching = True
+        self.read_platform()
 
-    def read_anew(self) -> None:
-        """Read the platform; the answer carries the number of the view's confirmation."""
+    def read_platform(self) -> None:
+        """Read the platform; the response carries the read number of the current confirmation."""
         number = self._parts.freshness.read_number
-        self._parts.actions.append(ReadPlatform(watch=self.watching, read_number=number))
+        self._parts.actions.append(ReadPlatform(watch=self.is_watching, read_number=number))
 
-    def read_if_nobody_does(self, now_ms: float) -> None:
-        """Read the platform when neither a watcher nor a peer has news from it."""
+    def read_if_updates_stopped(self, now_ms: float) -> None:
+        """Read the platform if neither a watcher nor a peer has recently heard from it."""
         local = 1 + len(self._parts.membership.local_peers())
-        if self.contact.takes_over(self.watching, local, now_ms):
-            self.read_anew()
+        if self.contact.takes_over(self.is_watching, local, now_ms):
+            self.read_platform()
 
-    def take_documents(self, event: DocumentsReceived, now_ms: float) -> None:
-        """Take in news from the platform and pass them on to local peers."""
+    def handle_documents(self, event: DocumentsReceived, now_ms: float) -> None:
+        """Apply documents from the platform and send the accepted ones to local peers."""
         store = self._parts.store
         held_revision = store.revision
         change = store.apply(
             event.documents, event.revision, event.is_snapshot, event.above_revision
         )
-        self._bring_into_force(change, now_ms)
+        self._apply_change(change, now_ms)
         if change.taken:
-            self._spread(DocumentsUpdate(store.revision, change.taken, held_revision))
+            self._send_to_local_peers(DocumentsUpdate(store.revision, change.taken, held_revision))
         if event.revision < store.revision:
-            # An old copy of the platform: it is no sign that nothing newer was published.
-            self._note_behind(event.revision, now_ms)
+            # The response came from a stale replica of the platform, so newer documents may exist.
+            self._handle_stale_read(event.revision, now_ms)
         elif event.revision > store.revision:
             self._reread(now_ms)
         else:
             self.contact.note_heard(now_ms)
 
-    def take_silence(self, event: PlatformSilent) -> None:
-        """Note that the platform did not answer; what is in force stays in force."""
+    def handle_read_failure(self, event: PlatformReadFailed) -> None:
+        """Log that a read of the platform failed; the documents in force do not change."""
         fields = {"detail": event.detail}
         self._parts.actions.append(Report("platform_silent", fields, "warning"))
 
-    def take_update(self, sender_id: str, message: DocumentsUpdate, now_ms: float) -> None:
-        """Take in documents from a peer."""
+    def handle_update(self, sender_id: str, message: DocumentsUpdate, now_ms: float) -> None:
+        """Apply documents from a peer."""
         parts = self._parts
         held_revision = parts.store.revision
         change = parts.store.apply(
             message.documents, message.revision, above_revision=message.above_revision
         )
-        self._bring_into_force(change, now_ms)
+        self._apply_change(change, now_ms)
         if message.revision > parts.store.revision:
-            self.ask(sender_id, message.revision, now_ms)
+            self.request_documents(sender_id, message.revision, now_ms)
         if not change.taken:
             return
         update = DocumentsUpdate(parts.store.revision, change.taken, held_revision)
         sender = parts.membership.peers.get(sender_id)
         is_remote = sender is not None and sender.data_centre != parts.settings.data_centre
-        # What another data centre told reaches the own one by this instance alone, and what
-        # is large goes from peer to peer; the rest was sent to all by whoever had it first.
-        if is_remote or _size_of(update) > PUSHED_BYTES:
-            self._spread(update)
-
-    def ask(self, peer_id: str, revision: int, now_ms: float) -> None:
-        """Ask a peer for the documents up to its revision, unless that was asked just now."""
+        # An update from another data centre reaches this one only through this instance, and a
+        # large update is relayed from peer to peer. Any other update was already sent to all
+        # local peers by the instance that had it first.
+        if is_remote or _size_of(update) > MAX_PUSHED_BYTES:
+            self._send_to_local_peers(update)
+
+    def request_documents(self, peer_id: str, revision: int, now_ms: float) -> None:
+        """Request the documents up to a peer's revision, unless they were requested just now."""
         if self._questions.may_ask(self._parts.store.revision, revision, now_ms):
             self._parts.send(peer_id, DocumentsWanted(self._parts.store.revision))
 
-    def give_documents(self, sender_id: str, message: DocumentsWanted) -> None:
-        """Send a peer the documents that it lacks."""
+    def send_documents(self, sender_id: str, message: DocumentsWanted) -> None:
+        """Send a peer the documents above its revision."""
         store = self._parts.store
         documents = store.documents_above(message.above_revision)
         update = DocumentsUpdate(store.revision, documents, message.above_revision)
         self._parts.send(sender_id, update)
 
-    def take_sign_of_life(
-        self, sender_id: str, message: Heartbeat | Goodbye, now_ms: float
-    ) -> None:
-        """Note that a peer lives or leaves; ask it for documents that are news here."""
+    def handle_liveness(self, sender_id: str, message: Heartbeat | Goodbye, now_ms: float) -> None:
+        """Record that a peer is alive or leaving, and request its documents if they are newer."""
         membership = self._parts.membership
         known = membership.peers.get(sender_id)
         known_incarnation = None if known is None else known.incarnation
@@ -135,16 +133,16 @@
         if peer is None:
             return
         if peer.incarnation != known_incarnation:
-            self._calls.hand_over_warmth(sender_id, now_ms)
+            self._calls.send_warm_upstreams(sender_id, now_ms)
         if isinstance(message, Heartbeat):
-            self._compare(sender_id, message, now_ms)
+            self._compare_revisions(sender_id, message, now_ms)
 
-    def _compare(self, sender_id: str, heartbeat: Heartbeat, now_ms: float) -> None:
+    def _compare_revisions(self, sender_id: str, heartbeat: Heartbeat, now_ms: float) -> None:
         parts, store = self._parts, self._parts.store
         if heartbeat.revision > store.revision:
-            self.ask(sender_id, heartbeat.revision, now_ms)
+            self.request_documents(sender_id, heartbeat.revision, now_ms)
             return
-        # An age counts only together with the revision that was heard then.
+        # The platform age is valid only together with the revision that was read at that time.
         if heartbeat.platform_age_ms is not None:
             self.contact.note_relayed(heartbeat.platform_age_ms, now_ms)
         if heartbeat.revision != store.revision:
@@ -152,19 +150,19 @@
         if self._divergence.must_ask(store.digest, heartbeat.digest, now_ms):
             fields = {"peer": sender_id, "revision": store.revision}
             parts.actions.append(Report("configuration_diverged", fields, "error"))
-            parts.send(sender_id, DocumentsWanted(EVERYTHING))
+            parts.send(sender_id, DocumentsWanted(ALL_REVISIONS))
 
-    def _spread(self, update: DocumentsUpdate) -> None:
+    def _send_to_local_peers(self, update: DocumentsUpdate) -> None:
         parts = self._parts
         local = [peer.entry.instance_id for peer in parts.membership.local_peers()]
         message: DocumentsUpdate | Probe = update
-        if _size_of(update) > PUSHED_BYTES:
+        if _size_of(update) > MAX_PUSHED_BYTES:
             local = parts.random.sample(local, min(ANNOUNCED_PEERS, len(local)))
             message = Probe(ANY_NONCE, update.revision)
         for instance_id in local:
             parts.send(instance_id, message)
 
-    def _note_behind(self, revision: int, now_ms: float) -> None:
+    def _handle_stale_read(self, revision: int, now_ms: float) -> None:
         if now_ms - self._reread_ms < REREAD_INTERVAL_MS:
             return
         fields = {"platform_revision": revision, "revision": self._parts.store.revision}
@@ -172,11 +170,11 @@
         self._reread(now_ms)
 
     def _reread(self, now_ms: float) -> None:
-        if self.watching and now_ms - self._reread_ms >= REREAD_INTERVAL_MS:
+        if self.is_watching and now_ms - self._reread_ms >= REREAD_INTERVAL_MS:
             self._reread_ms = now_ms
-            self.read_anew()
+            self.read_platform()
 
-    def _bring_into_force(self, change: StoreChange, now_ms: float) -> None:
+    def _apply_change(self, change: StoreChange, now_ms: float) -> None:
         parts = self._parts
         for refused in change.refused:
             fields = {"key": refused.key, "revision": refused.revision, "reason": refused.reason}
@@ -186,11 +184,11 @@
         if change.is_forked:
             parts.actions.append(Report("platform_history_forked", {}, "error"))
         if change.taken:
-            self._adopt_view(now_ms)
+            self._apply_view(now_ms)
             fields = {"revision": parts.store.revision, "documents": len(change.taken)}
             parts.actions.append(Report("configuration_in_force", fields))
 
-    def _adopt_view(self, now_ms: float) -> None:
+    def _apply_view(self, now_ms: float) -> None:
         parts = self._parts
         view = parts.store.view
         owners = self._owners = OwnerTable.from_previous(view, self._owners)
@@ -202,8 +200,8 @@
         steps = parts.dispatcher.update(view, owners, parts.store.revision_of(list_key), now_ms)
         self._calls.run_dispatch(steps, now_ms)
         wanted = parts.membership.is_watcher()
-        if wanted != self.watching:
-            self.watching = wanted
+        if wanted != self.is_watching:
+            self.is_watching = wanted
             number = parts.freshness.read_number
             parts.actions.append(ReadPlatform(wanted, stop=not wanted, read_number=number))
 
--- a/packages/geraniumlead/src/geraniumlead/instance/freshness_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/freshness_handler.py
@@ -1,5 +1,3 @@
-"""Confirm the view after a pause and at the start, and hold new work until then."""
-
 from geraniumlead.actions import Report
 from geraniumlead.events import DocumentsReceived
 from geraniumlead.instance.call_handler import CallHandler
@@ -10,14 +8,18 @@
 
 LOCAL_PROBES = 3
 REMOTE_PROBES = 2
-"""Peers asked in one round: enough that one dead or stale peer does not decide alone."""
+"""Peers probed in one round: enough that no single dead or stale peer decides the result."""
 
-UNHURRIED_READERS_PER_ROUND = 2.0
-"""Instances of a data centre that read the platform in one round when all were paused."""
+EXPECTED_READERS_PER_ROUND = 2.0
+"""Expected number of non-watchers in a data centre that read the platform in one round if all
+of them were paused."""
 
 
 class FreshnessHandler:
-    """Ask peers and the platform, and release the held work once they have answered."""
+    """Confirms the view with peers and the platform, at the start and after a pause.
+
+    New work is held until the view is confirmed.
+    """
 
     __slots__ = ("_calls", "_configuration", "_parts", "_requests")
 
@@ -33,56 +35,56 @@
         self._requests = requests
         self._configuration = configuration
 
-    def note_time(self, now_ms: float) -> None:
-        """Begin to confirm the view when the process had been paused."""
+    def detect_pause(self, now_ms: float) -> None:
+        """Start to confirm the view if the process was paused."""
         parts = self._parts
-        if parts.freshness.note_time(now_ms):
+        if parts.freshness.detect_pause(now_ms):
             parts.actions.append(Report("view_stale_after_pause", {}, "warning"))
             self._calls.hold_unsent(now_ms)
 
-    def take_read(self, event: DocumentsReceived) -> None:
-        """Take in that the platform answered."""
+    def handle_read(self, event: DocumentsReceived) -> None:
+        """Process a response of the platform."""
         parts = self._parts
-        parts.freshness.take_read(event.read_number, event.revision, parts.store.revision)
+        parts.freshness.record_read(event.read_number, event.revision, parts.store.revision)
 
     def answer_probe(self, sender_id: str, message: Probe, now_ms: float) -> None:
-        """Tell a peer which configuration is in force here, and ask for one that is newer."""
+        """Send a peer the revision in force on this instance; request the peer's if it is newer."""
         parts = self._parts
         if message.revision > parts.store.revision:
-            self._configuration.ask(sender_id, message.revision, now_ms)
+            self._configuration.request_documents(sender_id, message.revision, now_ms)
         is_fresh = parts.freshness.is_confirmed
         parts.send(sender_id, ProbeReply(message.nonce, parts.store.revision, is_fresh))
 
-    def take_reply(self, sender_id: str, message: ProbeReply, now_ms: float) -> None:
-        """Take in a peer's answer, and ask for what is news here."""
+    def handle_reply(self, sender_id: str, message: ProbeReply, now_ms: float) -> None:
+        """Process a peer's reply, and request newer documents from the peer."""
         parts = self._parts
-        taken = parts.freshness.take_reply(
+        taken = parts.freshness.record_reply(
             sender_id, message.nonce, message.revision, message.is_fresh
         )
         if taken and (message.revision > parts.store.revision or parts.store.lacks_last_good):
-            self._configuration.ask(sender_id, message.revision, now_ms)
+            self._configuration.request_documents(sender_id, message.revision, now_ms)
 
     def run(self, now_ms: float) -> None:
-        """Ask another round when it is due, and release the held work once it may go."""
+        """Start the next round of probes if due, and release held work once it may be sent."""
         parts = self._parts
         if parts.freshness.is_confirmed:
             return
         if parts.freshness.is_round_due(now_ms):
-            self._ask()
+            self._send_probes()
         if parts.freshness.settle(parts.store.revision, now_ms):
-            self._release(now_ms)
+            self._release_held_work(now_ms)
 
-    def _ask(self) -> None:
+    def _send_probes(self) -> None:
         parts = self._parts
-        asked = self._choose_peers()
+        asked = self._choose_probe_targets()
         for peer_id in asked:
             parts.send(peer_id, Probe(parts.freshness.nonce, parts.store.revision))
         if parts.is_configured:
-            parts.freshness.note_asked(asked)
-        if self._reads_now():
-            self._configuration.read_anew()
+            parts.freshness.record_probes(asked)
+        if self._should_read_platform():
+            self._configuration.read_platform()
 
-    def _choose_peers(self) -> list[str]:
+    def _choose_probe_targets(self) -> list[str]:
         parts = self._parts
         home = parts.settings.data_centre
         peers = list(parts.membership.peers.values())
@@ -93,23 +95,23 @@
             *parts.random.sample(remote, min(REMOTE_PROBES, len(remote))),
         ]
 
-    def _reads_now(self) -> bool:
-        # Watchers read at once: their watch may have died in the pause. The others ask the
-        # platform only when peers did not answer the first round, and not all together.
+    def _should_read_platform(self) -> bool:
+        # Watchers read immediately, as their watch may have ended during the pause. Other
+        # instances read only if peers did not answer the first round, and not all at once.
         parts = self._parts
         if not parts.is_configured:
             return False
-        if self._configuration.watching:
+        if self._configuration.is_watching:
             return parts.freshness.rounds == 1
-        share = UNHURRIED_READERS_PER_ROUND / (1 + len(parts.membership.local_peers()))
+        share = EXPECTED_READERS_PER_ROUND / (1 + len(parts.membership.local_peers()))
         return parts.freshness.rounds > 1 and parts.random.random() < share
 
-    def _release(self, now_ms: float) -> None:
+    def _release_held_work(self, now_ms: float) -> None:
         parts = self._parts
         confirmed = parts.freshness.is_confirmed
         fields = {"confirmed": confirmed, "revision": parts.store.revision}
         level = "info" if confirmed else "warning"
         parts.actions.append(Report("view_in_use", fields, level))
-        parts.lifecycle.note_configured()
-        self._calls.release(now_ms)
+        parts.lifecycle.start_serving()
+        self._calls.release_held(now_ms)
         self._requests.release_held(now_ms)
--- a/packages/geraniumlead/src/geraniumlead/instance/heartbeat_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/heartbeat_handler.py
@@ -1,17 +1,16 @@
-"""Send signs of life, and ask for those of silent peers."""
-
 from msgspec.structs import replace
 
 from geraniumlead.admission import EVERY_PEER
 from geraniumlead.instance.parts import InstanceParts
 from geraniumlead.peers import ANY_NONCE, Heartbeat, Probe
 
-MOST_OWN_REPORTS = 16
-"""Peers that get a beat because a share is lent to them, beyond those whose turn it is."""
+MAX_INDIVIDUAL_REPORTS = 16
+"""Peers that get a heartbeat because a share is lent to them, in addition to those whose turn
+it is."""
 
 
 class HeartbeatHandler:
-    """Beat at a steady interval."""
+    """Sends heartbeats at a fixed interval, and probes silent peers."""
 
     __slots__ = ("_parts", "_sequence", "due_ms")
 
@@ -20,8 +19,8 @@
         self._sequence = 0
         self.due_ms = now_ms
 
-    def beat_if_due(self, now_ms: float, platform_age_ms: float | None) -> bool:
-        """Send a heartbeat to the peers whose turn it is; False between two beats."""
+    def send_if_due(self, now_ms: float, platform_age_ms: float | None) -> bool:
+        """Send a heartbeat to the peers whose turn it is; return False if none is due."""
         if now_ms < self.due_ms:
             return False
         parts = self._parts
@@ -41,14 +40,17 @@
             stopping=parts.lifecycle.is_stopping,
         )
         targets = dict.fromkeys(parts.membership.take_beat_targets(parts.random))
-        targets |= dict.fromkeys(list(reports)[:MOST_OWN_REPORTS])
+        targets |= dict.fromkeys(list(reports)[:MAX_INDIVIDUAL_REPORTS])
         for instance_id in targets:
-            own = reports.get(instance_id)
-            parts.send(instance_id, heartbeat if own is None else replace(heartbeat, demand=own))
-        self._probe_silent(interval_ms, now_ms)
+            individual = reports.get(instance_id)
+            parts.send(
+                instance_id,
+                heartbeat if individual is None else replace(heartbeat, demand=individual),
+            )
+        self._probe_silent_peers(interval_ms, now_ms)
         return True
 
-    def _probe_silent(self, interval_ms: float, now_ms: float) -> None:
+    def _probe_silent_peers(self, interval_ms: float, now_ms: float) -> None:
         parts = self._parts
         for instance_id in parts.membership.take_probe_targets(interval_ms, now_ms):
             parts.send(instance_id, Probe(ANY_NONCE, parts.store.revision))
--- a/packages/geraniumlead/src/geraniumlead/instance/held_steps.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/held_steps.py
@@ -1,56 +1,55 @@
-"""Hold subqueries while the view is not confirmed."""
-
 from msgspec.structs import replace
 
-from geraniumlead.coordination import AskUpstream
+from geraniumlead.coordination import SendSubquery
 from geraniumlead.dispatch import StartCall
 from geraniumlead.upstreams import Subquery
 
 
 class HeldSteps:
-    """Keep the retries, hedges and queued calls of open queries back.
+    """Holds the subqueries and calls of open queries while the view is not confirmed.
 
-    Their place was chosen by the view before the pause. They are checked against the
-    confirmed view when they are released, so none goes to an upstream that left meanwhile.
+    These are retries, hedges and queued calls whose upstream was chosen by the view before
+    the pause. They are checked against the confirmed view when they are released, so none is
+    sent to an upstream that has been removed in the meantime.
     """
 
-    __slots__ = ("_asks", "_starts")
+    __slots__ = ("_calls", "_subqueries")
 
     def __init__(self) -> None:
-        self._asks: dict[str, tuple[AskUpstream, float]] = {}
-        self._starts: dict[str, tuple[StartCall, float]] = {}
+        self._subqueries: dict[str, tuple[SendSubquery, float]] = {}
+        self._calls: dict[str, tuple[StartCall, float]] = {}
 
-    def hold_ask(self, step: AskUpstream, now_ms: float) -> None:
-        """Hold a subquery on its way to the dispatcher or to an owner."""
-        self._asks[step.subquery.call_id] = (step, now_ms)
+    def hold_subquery(self, step: SendSubquery, now_ms: float) -> None:
+        """Hold a subquery that is to be sent to the dispatcher or to an owner."""
+        self._subqueries[step.subquery.call_id] = (step, now_ms)
 
-    def hold_start(self, step: StartCall, now_ms: float) -> None:
-        """Hold a call that its upstream has room for."""
-        self._starts[step.subquery.call_id] = (step, now_ms)
+    def hold_call(self, step: StartCall, now_ms: float) -> None:
+        """Hold a call for which its upstream has a free slot."""
+        self._calls[step.subquery.call_id] = (step, now_ms)
 
-    def drop_ask(self, call_id: str) -> bool:
-        """Forget a subquery that is no longer wanted; False when it was not held."""
-        return self._asks.pop(call_id, None) is not None
+    def drop_subquery(self, call_id: str) -> bool:
+        """Discard a cancelled subquery; return False if it was not held."""
+        return self._subqueries.pop(call_id, None) is not None
 
-    def drop_start(self, call_id: str) -> bool:
-        """Forget a call that is no longer wanted; False when it was not held."""
-        return self._starts.pop(call_id, None) is not None
+    def drop_call(self, call_id: str) -> bool:
+        """Discard a cancelled call; return False if it was not held."""
+        return self._calls.pop(call_id, None) is not None
 
-    def take_asks(self, now_ms: float) -> list[AskUpstream]:
-        """Return the held subqueries with the time that is left to them."""
+    def drain_subqueries(self, now_ms: float) -> list[SendSubquery]:
+        """Remove and return the held subqueries, with their remaining time updated."""
         asks = [
-            AskUpstream(_shorten(step.subquery, now_ms - held_ms), step.route)
-            for step, held_ms in self._asks.values()
+            SendSubquery(_shorten(step.subquery, now_ms - held_ms), step.route)
+            for step, held_ms in self._subqueries.values()
         ]
-        self._asks.clear()
+        self._subqueries.clear()
         return asks
 
-    def take_starts(self, now_ms: float) -> list[tuple[StartCall, float]]:
-        """Return the held calls, each with its remaining milliseconds."""
+    def drain_calls(self, now_ms: float) -> list[tuple[StartCall, float]]:
+        """Remove and return the held calls, each with its remaining milliseconds."""
         starts = [
-            (step, step.timeout_ms - (now_ms - held_ms)) for step, held_ms in self._starts.values()
+            (step, step.timeout_ms - (now_ms - held_ms)) for step, held_ms in self._calls.values()
         ]
-        self._starts.clear()
+        self._calls.clear()
         return starts
 
 
--- a/packages/geraniumlead/src/geraniumlead/instance/instance.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/instance.py
@@ -1,17 +1,15 @@
-"""Handle one event after another: event in, actions out."""
-
 from random import Random
 
 from geraniumlead.actions import Action
 from geraniumlead.events import (
-    CallerGone,
+    CallerDisconnected,
     DocumentsReceived,
     Event,
     PeerMessageReceived,
-    PlatformSilent,
+    PlatformReadFailed,
     QueryArrived,
     StopRequested,
-    TicketAsked,
+    TicketRequested,
     TimerFired,
     UpstreamAnswered,
     UpstreamDisconnected,
@@ -47,11 +45,11 @@
 
 
 class Instance:
-    """Be one entry instance: coordinate queries, own upstreams, follow the configuration.
+    """An entry instance that coordinates queries, owns upstreams and follows the configuration.
 
     All input comes through ``handle``, with the time in milliseconds of a monotonic clock;
-    all output is the returned actions. ``next_wake_ms`` says when to call again with
-    TimerFired. Nothing here does I/O, reads a clock or uses global randomness.
+    all output is the returned actions. ``next_wake_ms`` returns when to call ``handle`` with
+    TimerFired. This class does no I/O, reads no clock and uses no global randomness.
     """
 
     __slots__ = (
@@ -73,11 +71,12 @@
         now_ms: float,
         incarnation: str | None = None,
     ) -> None:
-        """Build an instance that has done nothing yet.
+        """Create an instance that has not started yet.
 
-        ``incarnation`` names this life of the process; without one it is drawn from
-        ``random``, which is right for virtual runs alone: with a seed, the next life would
-        draw the same name, take the tickets of this one for its own, and run them again.
+        ``incarnation`` identifies this run of the process. Without one it is drawn from
+        ``random``, which is suitable only for virtual runs: with a fixed seed, a restarted
+        process would draw the same incarnation, treat the tickets of its predecessor as its
+        own, and run them again.
         """
         if incarnation is None:
             incarnation = f"{random.getrandbits(INCARNATION_BITS):012x}"
@@ -105,23 +104,23 @@
     def start(self, now_ms: float) -> list[Action]:
         """Return the first actions of the process."""
         self._configuration.start()
-        return self._take_actions()
+        return self._drain_actions()
 
     def handle(self, event: Event, now_ms: float) -> list[Action]:
-        """Take in one event and return what follows from it, in order."""
+        """Process one event and return the resulting actions in order."""
         open_queries = len(self.parts.coordinator)
-        self._freshness.note_time(now_ms)
+        self._freshness.detect_pause(now_ms)
         self.parts.cold_start.tick(now_ms)
-        self._take_event(event, now_ms)
-        # Most events are answers of single shards, which make nothing due: a query that ended
-        # frees a place, everything else that waits has a time of its own.
+        self._handle_event(event, now_ms)
+        # Most events are answers of single shards, after which no timer is due: only the end
+        # of a query frees a slot, and all other waiting work has its own wake time.
         is_plain_answer = isinstance(event, UpstreamAnswered) and now_ms < self._wake_ms
         if not is_plain_answer or len(self.parts.coordinator) != open_queries:
             self._run_timers(now_ms)
-        return self._take_actions()
+        return self._drain_actions()
 
     def next_wake_ms(self) -> float:
-        """Return when ``handle`` wants TimerFired, if nothing happens before."""
+        """Return when to call ``handle`` with TimerFired if no other event comes first."""
         wake_ms = self._heartbeats.due_ms
         for find_next_wake_ms in self._wake_sources:
             found_ms = find_next_wake_ms()
@@ -131,7 +130,7 @@
         return self._wake_ms
 
     def status(self, now_ms: float) -> InstanceStatus:
-        """Summarise this instance for operators."""
+        """Return the status of this instance for operators."""
         parts = self.parts
         view = parts.store.view
         upstreams = report_upstreams(parts, now_ms)
@@ -149,7 +148,7 @@
                 name: parts.membership.is_reachable(name, now_ms) for name in parts.membership.peers
             },
             data_centres={name: found.state for name, found in view.data_centres.items()},
-            is_watcher=self._configuration.watching,
+            is_watcher=self._configuration.is_watching,
             queued_requests=parts.admission.queued_requests,
             ambiguous_names=tuple(sorted(view.ambiguous_names)),
             services=report_services(upstreams),
@@ -162,85 +161,87 @@
             held_requests=len(self._requests.held),
         )
 
-    def _take_event(self, event: Event, now_ms: float) -> None:
+    def _handle_event(self, event: Event, now_ms: float) -> None:
         match event:
             case QueryArrived(request=request):
-                self._requests.take_request(request, now_ms)
-            case TicketAsked():
-                self._requests.give_ticket(event, now_ms)
-            case CallerGone(request_id=request_id):
-                self._requests.drop_caller(request_id, now_ms)
+                self._requests.handle_request(request, now_ms)
+            case TicketRequested():
+                self._requests.issue_ticket(event, now_ms)
+            case CallerDisconnected(request_id=request_id):
+                self._requests.handle_caller_disconnected(request_id, now_ms)
             case UpstreamAnswered():
-                self._calls.take_answer(event, now_ms)
+                self._calls.handle_answer(event, now_ms)
             case UpstreamDisconnected(upstream_id=upstream_id):
-                self._calls.take_disconnection(upstream_id, now_ms)
+                self._calls.handle_disconnection(upstream_id, now_ms)
             case PeerMessageReceived(sender_id=sender_id, message=message):
-                self._take_message(sender_id, message, now_ms)
+                self._handle_message(sender_id, message, now_ms)
             case DocumentsReceived():
-                self._freshness.take_read(event)
-                self._configuration.take_documents(event, now_ms)
-            case PlatformSilent():
-                self._configuration.take_silence(event)
+                self._freshness.handle_read(event)
+                self._configuration.handle_documents(event, now_ms)
+            case PlatformReadFailed():
+                self._configuration.handle_read_failure(event)
             case StopRequested():
                 self._stop.begin(now_ms)
             case TimerFired(wall_now_s=wall_now_s):
                 if wall_now_s is not None:
                     self.parts.admission.observe_wall_clock(wall_now_s, now_ms)
 
-    def _take_message(self, sender_id: str, message: PeerMessage, now_ms: float) -> None:
+    def _handle_message(self, sender_id: str, message: PeerMessage, now_ms: float) -> None:
         if sender_id not in self.parts.membership.peers:
-            # Nothing can be sent back to it, so work for it would be for nobody.
+            # An unlisted sender cannot be answered, so its work would be wasted.
             return
         self.parts.membership.note_heard(sender_id, now_ms)
         match message:
             case Heartbeat() | Goodbye():
-                self._configuration.take_sign_of_life(sender_id, message, now_ms)
+                self._configuration.handle_liveness(sender_id, message, now_ms)
                 if isinstance(message, Heartbeat):
                     self.parts.admission.hear(sender_id, message.demand, now_ms)
             case DocumentsWanted():
-                self._configuration.give_documents(sender_id, message)
+                self._configuration.send_documents(sender_id, message)
             case DocumentsUpdate():
-                self._configuration.take_update(sender_id, message, now_ms)
+                self._configuration.handle_update(sender_id, message, now_ms)
             case Probe():
                 self._freshness.answer_probe(sender_id, message, now_ms)
             case ProbeReply():
-                self._freshness.take_reply(sender_id, message, now_ms)
+                self._freshness.handle_reply(sender_id, message, now_ms)
             case _:
-                self._take_work(sender_id, message, now_ms)
+                self._handle_work(sender_id, message, now_ms)
 
-    def _take_work(self, sender_id: str, message: PeerMessage, now_ms: float) -> None:
+    def _handle_work(self, sender_id: str, message: PeerMessage, now_ms: float) -> None:
         match message:
             case SubqueryBatch():
-                self._calls.take_subqueries(sender_id, message, now_ms)
+                self._calls.handle_subqueries(sender_id, message, now_ms)
             case SubqueryResultBatch():
-                self._calls.take_results(message, now_ms)
+                self._calls.handle_results(message, now_ms)
             case CancelBatch(call_ids=call_ids):
                 self._calls.cancel(call_ids, now_ms)
             case UpstreamNotice():
-                self._calls.take_notice(message, now_ms)
+                self._calls.handle_notice(message, now_ms)
             case QuarantineNotice():
-                self._requests.quarantine.hear(message, now_ms)
+                self._requests.quarantine.handle_notice(message, now_ms)
             case TicketedRequest():
-                self._requests.take_forwarded(sender_id, message, now_ms)
+                self._requests.handle_forwarded(sender_id, message, now_ms)
             case TicketedAnswer():
-                self._requests.take_ticketed_answer(message)
+                self._requests.handle_ticketed_answer(message)
 
     def _run_timers(self, now_ms: float) -> None:
         self._freshness.run(now_ms)
         self._requests.expire_held(now_ms)
         self._calls.run_coordination(self.parts.coordinator.expire(now_ms), now_ms)
-        self._requests.quarantine.tell_peers(now_ms)
+        self._requests.quarantine.notify_peers(now_ms)
         self._calls.wake_dispatch(now_ms)
-        self._requests.take_ready(now_ms)
+        self._requests.start_ready(now_ms)
         self._requests.expire_forwarded(now_ms)
-        if self._heartbeats.beat_if_due(now_ms, self._configuration.contact.age_ms(now_ms)):
-            self._configuration.read_if_nobody_does(now_ms)
-            self._calls.run_coordination(self.parts.coordinator.give_up_lost_owners(now_ms), now_ms)
+        if self._heartbeats.send_if_due(now_ms, self._configuration.contact.age_ms(now_ms)):
+            self._configuration.read_if_updates_stopped(now_ms)
+            self._calls.run_coordination(
+                self.parts.coordinator.retry_calls_at_lost_owners(now_ms), now_ms
+            )
             self._stop.exit_if_done(now_ms)
-        for peer_id, message in self.parts.batcher.take_due(now_ms):
+        for peer_id, message in self.parts.batcher.pop_due(now_ms):
             if self.parts.send(peer_id, message) and isinstance(message, SubqueryBatch):
                 self.parts.membership.note_asked(peer_id, now_ms)
 
-    def _take_actions(self) -> list[Action]:
+    def _drain_actions(self) -> list[Action]:
         actions, self.parts.actions = self.parts.actions, []
         return actions
--- a/packages/geraniumlead/src/geraniumlead/instance/lifecycle.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/lifecycle.py
@@ -1,12 +1,10 @@
-"""Follow an instance from its start to its graceful stop."""
-
 from enum import StrEnum
 
 from geraniumlead.settings.timing import TimingSettings
 
 
 class LifecyclePhase(StrEnum):
-    """Name the phases of a process."""
+    """The phases of an instance."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -14,49 +12,49 @@
 
 
 class Lifecycle:
-    """Decide when an instance is ready and when a stopping one may exit.
+    """Decides when an instance is ready and when a stopping one may exit.
 
-    A stopping instance turns unready at once and goes on taking requests for
-    ``stop_notice_ms``: the balancer sends some until it has noticed, and to refuse them
-    would cut off callers of a planned stop. Then it waits for the work in hand, at most
-    until ``stop_bound_ms``.
+    A stopping instance becomes unready immediately but accepts requests for
+    ``stop_notice_ms``: the load balancer sends requests until it notices, and refusing them
+    would make a planned shutdown fail callers. It then waits for the work in progress, until
+    ``stop_bound_ms`` at the latest.
     """
 
-    __slots__ = ("_stop_asked_ms", "_timing", "phase")
+    __slots__ = ("_stop_began_ms", "_timing", "phase")
 
     def __init__(self, timing: TimingSettings) -> None:
         self._timing = timing
-        self._stop_asked_ms = 0.0
+        self._stop_began_ms = 0.0
         self.phase = LifecyclePhase.STARTING
 
-    def note_configured(self) -> None:
-        """Start to serve once there is a configuration to act on."""
+    def start_serving(self) -> None:
+        """Enter the serving phase once the instance has a configuration; no effect later."""
         if self.phase is LifecyclePhase.STARTING:
             self.phase = LifecyclePhase.SERVING
 
-    def ask_stop(self, now_ms: float) -> bool:
-        """Begin the graceful stop; False when it had begun before."""
+    def begin_stop(self, now_ms: float) -> bool:
+        """Begin the graceful shutdown; return False if it had already begun."""
         if self.phase is LifecyclePhase.STOPPING:
             return False
         self.phase = LifecyclePhase.STOPPING
-        self._stop_asked_ms = now_ms
+        self._stop_began_ms = now_ms
         return True
 
     def may_exit(self, work_in_hand: int, now_ms: float) -> bool:
-        """Return whether a stopping instance has nothing left to wait for."""
+        """Return whether a stopping instance has finished its work or reached its time limit."""
         if self.phase is not LifecyclePhase.STOPPING:
             return False
-        stopping_ms = now_ms - self._stop_asked_ms
+        stopping_ms = now_ms - self._stop_began_ms
         if stopping_ms >= self._timing.stop_bound_ms:
             return True
         return stopping_ms >= self._timing.stop_notice_ms and work_in_hand == 0
 
     @property
     def is_stopping(self) -> bool:
-        """Return whether the graceful stop has begun."""
+        """Return whether the graceful shutdown has begun."""
         return self.phase is LifecyclePhase.STOPPING
 
     @property
     def is_serving(self) -> bool:
-        """Return whether the instance wants requests from the balancer."""
+        """Return whether the load balancer should send requests to this instance."""
         return self.phase is LifecyclePhase.SERVING
--- a/packages/geraniumlead/src/geraniumlead/instance/parts.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/parts.py
@@ -1,5 +1,3 @@
-"""Hold the decisions that one instance is composed of."""
-
 from random import Random
 
 from geraniumlead.actions import Action, SendToPeer
@@ -12,7 +10,7 @@
 from geraniumlead.freshness import ViewFreshness
 from geraniumlead.instance.batcher import PeerBatcher
 from geraniumlead.instance.lifecycle import Lifecycle
-from geraniumlead.instance.ticket_desk import TicketDesk
+from geraniumlead.instance.ticket_handler import TicketHandler
 from geraniumlead.membership import Membership
 from geraniumlead.peers import PeerMessage
 from geraniumlead.quarantine import CanaryPlanner, QuarantineBook
@@ -21,10 +19,10 @@
 
 
 class InstanceParts:
-    """Compose the decisions of one instance, and collect the actions they lead to.
+    """The components of one instance, and the actions that they caused.
 
-    The handlers share one InstanceParts; each of them turns one kind of event into calls
-    of the decisions and their outcomes into ``actions``.
+    The handlers share one InstanceParts. Each handler turns one kind of event into calls of
+    the components, and their results into ``actions``.
     """
 
     __slots__ = (
@@ -72,11 +70,11 @@
             CrashGuard(self.quarantine, CanaryPlanner(data_centre)),
         )
         self.batcher = PeerBatcher(settings.timing.batch_tick_ms)
-        self.tickets = TicketDesk.from_settings(settings, self.incarnation, random)
+        self.tickets = TicketHandler.from_settings(settings, self.incarnation, random)
 
     @property
     def is_ready(self) -> bool:
-        """Return what the balancer is told."""
+        """Return whether this instance reports itself as ready to the load balancer."""
         in_service = self.store.view.is_data_centre_in(self.settings.data_centre)
         can_serve = self.lifecycle.is_serving and self.cold_start.can_serve
         return can_serve and in_service and not self.membership.is_leaving
@@ -86,14 +84,14 @@
         """Return whether any documents are in force."""
         return self.store.revision > 0
 
-    def class_of(self, customer: str, class_name: str) -> TrafficClass | None:
-        """Return a class of a contract in force."""
+    def find_traffic_class(self, customer: str, class_name: str) -> TrafficClass | None:
+        """Return a traffic class of a contract in force, or None if there is none."""
         contract = self.store.view.contracts.get(customer)
         classes = contract.classes if contract is not None else ()
         return next((found for found in classes if found.name == class_name), None)
 
     def send(self, instance_id: str, message: PeerMessage) -> bool:
-        """Send a message to a listed peer; False when it is not listed."""
+        """Send a message to a peer; return False if the peer is not listed."""
         peer = self.membership.peers.get(instance_id)
         if peer is None:
             return False
--- a/packages/geraniumlead/src/geraniumlead/instance/request_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/request_handler.py
@@ -1,8 +1,6 @@
-"""Take callers' requests and tickets."""
-
-from geraniumlead.actions import GiveTicket
+from geraniumlead.actions import AnswerTicketRequest
 from geraniumlead.admission import Admitted, Queued, Refused
-from geraniumlead.events import TicketAsked
+from geraniumlead.events import TicketRequested
 from geraniumlead.freshness import HeldRequests
 from geraniumlead.instance.call_handler import CallHandler
 from geraniumlead.instance.parts import InstanceParts
@@ -16,7 +14,7 @@
 
 
 class RequestHandler:
-    """Admit requests, start their queries, and give out tickets."""
+    """Admits requests, starts their queries and issues tickets."""
 
     __slots__ = ("_calls", "_parts", "held", "quarantine")
 
@@ -26,10 +24,10 @@
         self.held = HeldRequests(parts.settings.limits.queued_requests)
         self.quarantine = QuarantineHandler(parts)
 
-    def take_request(self, request: CallerRequest, now_ms: float) -> None:
+    def handle_request(self, request: CallerRequest, now_ms: float) -> None:
         """Start, queue, hold, forward or refuse a request."""
-        # First of all: a repeat of a booking that ran may not be refused as not run, neither
-        # for a view that is not confirmed nor by an instance that knows no documents yet.
+        # The ticket is checked first: a repeat of a booking that ran must not be refused as
+        # "not run", neither for an unconfirmed view nor by an instance without documents.
         if request.ticket is not None and self._is_settled_by_ticket(request, now_ms):
             return
         if not self._parts.is_configured:
@@ -40,13 +38,13 @@
             if not self.held.hold(request, now_ms):
                 self._refuse_held(request)
             return
-        refusal = self.quarantine.refuse(request, now_ms)
+        refusal = self.quarantine.find_refusal(request, now_ms)
         if refusal is not None:
             self._calls.answer(request, refusal)
             return
         if request.ticket is not None:
-            # Before it may wait in the queue: a repeat that found the ticket unused would be
-            # queued beside it, and both would run in the end.
+            # Mark the ticket as used before the request can be queued: a repeat that found the
+            # ticket unused would be queued as well, and both would run.
             self._parts.tickets.start(request)
         match self._parts.admission.offer(request, now_ms):
             case Admitted():
@@ -57,7 +55,7 @@
                 pass
 
     def _is_settled_by_ticket(self, request: CallerRequest, now_ms: float) -> bool:
-        """Forward, answer or join what may not run here; False when it may."""
+        """Forward, answer or join a request that must not run here; return False if it may run."""
         tickets = self._parts.tickets
         if not tickets.is_own(request.ticket or ""):
             self._forward(request, now_ms)
@@ -68,8 +66,8 @@
             return True
         return tickets.join_running(request)
 
-    def take_ready(self, now_ms: float) -> None:
-        """Start or give up the requests whose wait is over."""
+    def start_ready(self, now_ms: float) -> None:
+        """Start or refuse the queued requests that admission returns."""
         for decision in self._parts.admission.take_ready(now_ms):
             match decision:
                 case Admitted(request=request):
@@ -78,58 +76,58 @@
                     self._refuse(request, NotRun(reason, retry_after_ms))
 
     def release_held(self, now_ms: float) -> None:
-        """Take the requests that waited for the view to be confirmed."""
+        """Process the requests that were held until the view was confirmed."""
         for request in self.held.release():
-            self.take_request(request, now_ms)
+            self.handle_request(request, now_ms)
 
     def expire_held(self, now_ms: float) -> None:
-        """Refuse the held requests that can no longer end in time; nothing of them was sent."""
+        """Refuse the held requests that can no longer finish in time; no subquery was sent."""
         for request in self.held.expire(now_ms):
             self._refuse_held(request)
 
-    def drop_caller(self, request_id: str, now_ms: float) -> None:
-        """Forget a request whose caller is gone."""
+    def handle_caller_disconnected(self, request_id: str, now_ms: float) -> None:
+        """Cancel a request whose caller disconnected."""
         if self.held.drop(request_id):
             return
-        # A ticket's request goes on: its caller may come back for the outcome.
+        # A request with a ticket continues: its caller may ask for the outcome again.
         if self._parts.tickets.is_ticketed(request_id):
             return
         self._parts.admission.release(request_id, now_ms)
-        self._calls.run_coordination(self._parts.coordinator.drop(request_id, now_ms), now_ms)
+        self._calls.run_coordination(self._parts.coordinator.cancel(request_id, now_ms), now_ms)
 
-    def give_ticket(self, event: TicketAsked, now_ms: float) -> None:
-        """Give out a ticket for one request of a non-idempotent class."""
+    def issue_ticket(self, event: TicketRequested, now_ms: float) -> None:
+        """Issue or refuse a ticket for one request of a non-idempotent class."""
         parts = self._parts
         if not parts.is_configured:
             refusal = NotRun(RefusalReason.OUT_OF_SERVICE, REFUSAL_RETRY_AFTER_MS)
-            parts.actions.append(GiveTicket(event.request_id, None, 0.0, refusal))
+            parts.actions.append(AnswerTicketRequest(event.request_id, None, 0.0, refusal))
             return
-        traffic_class = parts.class_of(event.customer, event.class_name)
+        traffic_class = parts.find_traffic_class(event.customer, event.class_name)
         if traffic_class is None or traffic_class.idempotent:
             refusal = NotRun(RefusalReason.TICKET_INVALID, 0.0)
-            parts.actions.append(GiveTicket(event.request_id, None, 0.0, refusal))
+            parts.actions.append(AnswerTicketRequest(event.request_id, None, 0.0, refusal))
             return
         ticket = parts.tickets.issue(event.customer, event.class_name, now_ms)
         if ticket is None:
             refusal = NotRun(RefusalReason.QUEUE_FULL, REFUSAL_RETRY_AFTER_MS)
-            parts.actions.append(GiveTicket(event.request_id, None, 0.0, refusal))
+            parts.actions.append(AnswerTicketRequest(event.request_id, None, 0.0, refusal))
             return
         valid_ms = parts.settings.timing.ticket_valid_ms
-        parts.actions.append(GiveTicket(event.request_id, ticket, valid_ms))
+        parts.actions.append(AnswerTicketRequest(event.request_id, ticket, valid_ms))
 
-    def take_forwarded(self, sender_id: str, message: TicketedRequest, now_ms: float) -> None:
-        """Take a request that a peer forwarded because its ticket was issued here."""
+    def handle_forwarded(self, sender_id: str, message: TicketedRequest, now_ms: float) -> None:
+        """Process a request that a peer forwarded because this instance issued its ticket."""
         request = self._parts.tickets.accept_forwarded(sender_id, message, now_ms)
-        self.take_request(request, now_ms)
+        self.handle_request(request, now_ms)
 
-    def take_ticketed_answer(self, message: TicketedAnswer) -> None:
-        """Answer a request that was forwarded to the issuer of its ticket."""
-        ended = self._parts.tickets.take_answer(message)
+    def handle_ticketed_answer(self, message: TicketedAnswer) -> None:
+        """Send the caller the answer of the instance that issued the ticket."""
+        ended = self._parts.tickets.handle_answer(message)
         if ended is not None:
             self._calls.answer(*ended)
 
     def expire_forwarded(self, now_ms: float) -> None:
-        """Answer the forwarded requests that no answer came for in time."""
+        """Answer the forwarded requests and waiting repeats that reached their deadline."""
         for request, outcome in self._parts.tickets.expire(now_ms):
             self._calls.answer(request, outcome)
 
@@ -146,12 +144,12 @@
 
     def _start_query(self, request: CallerRequest, now_ms: float) -> None:
         parts = self._parts
-        refusal = self.quarantine.refuse(request, now_ms)
+        refusal = self.quarantine.find_refusal(request, now_ms)
         if refusal is not None:
             parts.admission.release(request.request_id, now_ms)
             self._refuse(request, refusal)
             return
-        traffic_class = parts.class_of(request.customer, request.class_name)
+        traffic_class = parts.find_traffic_class(request.customer, request.class_name)
         if traffic_class is None:
             self._refuse_admitted(request, RefusalReason.CONTRACT_UNKNOWN, now_ms)
             return
@@ -163,7 +161,7 @@
             self._refuse_admitted(request, RefusalReason.NO_INDEX, now_ms)
             return
         if len(plan.shards) > parts.settings.limits.fan_out_shards:
-            # One such query would hold the loop, and all other callers with it.
+            # A single query of this size would block the event loop, and with it all other callers.
             self._refuse_admitted(request, RefusalReason.FAN_OUT, now_ms)
             return
         steps = parts.coordinator.start(request, traffic_class, plan, now_ms)
@@ -180,7 +178,7 @@
         self._refuse(request, NotRun(reason, REFUSAL_RETRY_AFTER_MS))
 
     def _refuse(self, request: CallerRequest, refusal: NotRun) -> None:
-        """Refuse a request whose ticket, if any, was started; it may be used again."""
+        """Refuse a request; its ticket, if any, becomes unused again."""
         self._calls.answer(request, refusal)
         if request.ticket is not None:
             for waiting in self._parts.tickets.finish(request, refusal):
--- a/packages/geraniumlead/src/geraniumlead/instance/status.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/status.py
@@ -1,12 +1,13 @@
-"""Define the status that operators see of one instance."""
-
 from msgspec import Struct, field
 
 from geraniumlead.instance.upstream_status import ServiceStatus, UpstreamStatus
 
 
 class InstanceStatus(Struct, frozen=True, kw_only=True):
-    """Summarise one instance; ages are in milliseconds, None where nothing was heard."""
+    """The status of one instance as operators see it.
+
+    Ages are in milliseconds, or None if nothing was received.
+    """
 
     instance_id: str
     incarnation: str
--- a/packages/geraniumlead/src/geraniumlead/instance/stop_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/stop_handler.py
@@ -1,5 +1,3 @@
-"""Stop gracefully: tell the peers, end the work in hand, and exit."""
-
 from geraniumlead.actions import Report, StopNow
 from geraniumlead.instance.call_handler import CallHandler
 from geraniumlead.instance.parts import InstanceParts
@@ -8,12 +6,13 @@
 
 
 class StopHandler:
-    """Begin the graceful stop and end the process once nothing waits for it.
+    """Shuts the instance down gracefully.
 
-    Work in hand is more than the queries that this instance coordinates: it owns upstreams
-    that peers' queries wait for, it waits for the issuers of tickets on behalf of its
-    callers, and holds requests in queues. To exit before cuts off callers of other
-    instances too, who were never told of the stop.
+    It notifies the peers and ends the process once the work in progress is done. This work is
+    more than the queries that this instance coordinates: peers' queries wait for upstreams that
+    it owns, it waits for the issuers of tickets on behalf of its callers, and it holds requests
+    in queues. Exiting earlier would also fail callers of other instances, which were not
+    notified of the shutdown.
     """
 
     __slots__ = ("_calls", "_parts", "_requests")
@@ -24,16 +23,16 @@
         self._requests = requests
 
     def begin(self, now_ms: float) -> None:
-        """Begin the stop; a second wish changes nothing, so its bound still holds."""
+        """Begin the shutdown; a second request has no effect and does not extend the time limit."""
         parts = self._parts
-        if not parts.lifecycle.ask_stop(now_ms):
+        if not parts.lifecycle.begin_stop(now_ms):
             return
         parts.actions.append(Report("stopping", {"work_in_hand": self.count_work()}))
         for instance_id in parts.membership.find_farewell_targets():
             parts.send(instance_id, Goodbye(parts.incarnation))
 
     def exit_if_done(self, now_ms: float) -> None:
-        """End the process when the work in hand has ended, or its bound has passed."""
+        """End the process once the work in progress is done or the time limit has passed."""
         parts = self._parts
         if not parts.lifecycle.is_stopping:
             return
@@ -44,7 +43,7 @@
             parts.actions.append(StopNow(work))
 
     def count_work(self) -> int:
-        """Return how much somebody still waits for."""
+        """Return the number of requests and calls in progress."""
         parts = self._parts
         return (
             len(parts.coordinator)
--- a/packages/geraniumlead/src/geraniumlead/instance/upstream_report.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/upstream_report.py
@@ -1,5 +1,3 @@
-"""Report the upstreams that this instance calls, and all that are not in full use."""
-
 from geraniumlead.cold_start import WarmthPhase
 from geraniumlead.dispatch.upstream_gate import UpstreamGate
 from geraniumlead.instance.parts import InstanceParts
@@ -7,10 +5,11 @@
 
 
 def report_upstreams(parts: InstanceParts, now_ms: float) -> dict[str, UpstreamStatus]:
-    """Return what is known of upstreams that were called or that operators took out.
+    """Return the status of the upstreams that were called or are not in full use.
 
-    An upstream that this instance never called and that is published as serving is left
-    out: it would tell nothing, and at thousands of upstreams the status would be long.
+    An upstream that this instance never called and that is published as serving is omitted:
+    its entry would carry no information, and with thousands of upstreams the status would be
+    long.
     """
     gates = {gate.entry.upstream_id: gate for gate in parts.dispatcher.gates()}
     phases = parts.cold_start.phases()
@@ -19,11 +18,11 @@
     report = {}
     for upstream_id, placed in view.upstreams.items():
         gate = gates.get(upstream_id)
-        conditions = _find_published(view, upstream_id)
+        conditions = _find_published_conditions(view, upstream_id)
         if upstream_id in suspected:
             conditions.append("suspected")
         if gate is not None:
-            conditions += _find_seen(gate, phases.get(upstream_id), now_ms)
+            conditions += _find_observed_conditions(gate, phases.get(upstream_id), now_ms)
         if gate is None and not conditions:
             continue
         report[upstream_id] = UpstreamStatus(
@@ -37,7 +36,7 @@
 
 
 def report_services(upstreams: dict[str, UpstreamStatus]) -> dict[str, ServiceStatus]:
-    """Return the sums of each service."""
+    """Return the totals of each service."""
     services: dict[str, ServiceStatus] = {}
     for status in upstreams.values():
         service = services.setdefault(status.service, ServiceStatus())
@@ -46,7 +45,7 @@
     return services
 
 
-def _find_published(view, upstream_id: str) -> list[str]:
+def _find_published_conditions(view, upstream_id: str) -> list[str]:
     placed = view.upstreams[upstream_id]
     conditions = []
     if placed.entry.state == "leaving":
@@ -56,7 +55,9 @@
     return conditions
 
 
-def _find_seen(gate: UpstreamGate, phase: WarmthPhase | None, now_ms: float) -> list[str]:
+def _find_observed_conditions(
+    gate: UpstreamGate, phase: WarmthPhase | None, now_ms: float
+) -> list[str]:
     conditions = []
     if phase is not None and phase is not WarmthPhase.WARM:
         conditions.append(phase.value)
--- a/packages/geraniumlead/src/geraniumlead/instance/upstream_status.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/upstream_status.py
@@ -1,12 +1,12 @@
-"""Define the status of upstreams and services as one instance sees them."""
-
 from msgspec import Struct
 
 
 class UpstreamStatus(Struct, frozen=True, kw_only=True):
-    """Show one upstream; ``conditions`` is empty for one that takes its full share.
+    """The status of one upstream as this instance sees it.
+
+    ``conditions`` is empty for an upstream that takes its full share of load.
 
-    Conditions: unproven, cold, warming, draining, suspected, leaving, out.
+    Its values are unproven, cold, warming, draining, suspected, leaving and out.
     """
 
     service: str
@@ -17,7 +17,7 @@
 
 
 class ServiceStatus(Struct, kw_only=True):
-    """Sum up this instance's own calls to the upstreams of one service."""
+    """The totals of this instance's own calls to the upstreams of one service."""
 
     in_flight: int = 0
     waiting: int = 0
--- a/packages/geraniumlead/src/geraniumlead/requests/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Describe what callers ask and what they are told."""
+"""Callers' requests and their outcomes."""
 
 from geraniumlead.requests.caller_request import CallerRequest
 from geraniumlead.requests.coverage import Coverage
--- a/packages/geraniumlead/src/geraniumlead/requests/caller_request.py
+++ b/packages/geraniumlead/src/geraniumlead/requests/caller_request.py
@@ -1,14 +1,12 @@
-"""Define a caller's request after it was tied to a contract."""
-
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class CallerRequest:
-    """Carry one request of one caller.
+    """A caller's request, after it was matched to a contract.
 
-    ``query`` is the JSON text of the query. ``key`` sends it to one shard; None asks all
-    shards. ``deadline_ms`` is absolute, on the clock that is passed to ``handle``.
+    ``query`` is the JSON text of the query. ``key`` selects one shard; None selects all
+    shards. ``deadline_ms`` is an absolute time on the clock that is passed to ``handle``.
     ``ticket`` is set for non-idempotent requests only.
     """
 
--- a/packages/geraniumlead/src/geraniumlead/requests/coverage.py
+++ b/packages/geraniumlead/src/geraniumlead/requests/coverage.py
@@ -1,5 +1,3 @@
-"""Define the coverage that is reported with an answer."""
-
 from dataclasses import dataclass
 
 from geraniumlead.requests.missing_shard import MissingShard
@@ -7,7 +5,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Coverage:
-    """Count the shards asked and answered of one index version."""
+    """The numbers of asked and answered shards of one index version, reported with an answer."""
 
     asked_shards: int
     answered_shards: int
@@ -15,10 +13,10 @@
 
     @property
     def share(self) -> float:
-        """Return answered over asked shards, from 0 to 1."""
+        """Return the share of asked shards that answered, from 0 to 1."""
         return self.answered_shards / self.asked_shards
 
     @property
     def is_whole(self) -> bool:
-        """Return whether every shard answered."""
+        """Return whether every asked shard answered."""
         return self.answered_shards == self.asked_shards
--- a/packages/geraniumlead/src/geraniumlead/requests/missing_shard.py
+++ b/packages/geraniumlead/src/geraniumlead/requests/missing_shard.py
@@ -1,5 +1,3 @@
-"""Define why a shard is missing from an answer."""
-
 from dataclasses import dataclass
 
 from geraniumlead.requests.reasons import MissingReason
@@ -7,7 +5,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MissingShard:
-    """Name one shard without an answer and the reason."""
+    """A shard without an answer, and the reason."""
 
     shard: int
     reason: MissingReason
--- a/packages/geraniumlead/src/geraniumlead/requests/outcome_codec.py
+++ b/packages/geraniumlead/src/geraniumlead/requests/outcome_codec.py
@@ -1,4 +1,4 @@
-"""Encode an outcome for a peer that holds its caller."""
+"""Encode outcomes for the peer that forwarded the request."""
 
 from msgspec import Struct
 from msgspec.msgpack import decode, encode
@@ -54,7 +54,7 @@
 
 
 def decode_outcome(data: bytes) -> Outcome:
-    """Return the outcome in ``data``; raises msgspec.DecodeError for other bytes."""
+    """Return the outcome in ``data``; raise msgspec.DecodeError if it is malformed."""
     match decode(data, type=_Wire):
         case _AnsweredWire() as wire:
             coverage = Coverage(wire.asked_shards, wire.answered_shards, wire.missing)
--- a/packages/geraniumlead/src/geraniumlead/requests/outcomes.py
+++ b/packages/geraniumlead/src/geraniumlead/requests/outcomes.py
@@ -1,4 +1,4 @@
-"""Define the tagged outcomes of a caller's request."""
+"""The possible outcomes of a caller's request."""
 
 from dataclasses import dataclass
 
@@ -8,9 +8,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Answered:
-    """Give the records of one index version with their true coverage.
+    """The records of one index version, and their coverage.
 
-    ``records`` holds one JSON array text for each answered shard, in shard order.
+    ``records`` holds the text of one JSON array per answered shard, in shard order.
     """
 
     index_version: int
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NotRun:
-    """Refuse a request of which nothing reached an upstream, or all of it was shed."""
+    """The request did not run: no part of it reached an upstream, or all of it was shed."""
 
     reason: RefusalReason
     retry_after_ms: float
@@ -28,14 +28,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Unknown:
-    """Admit that a non-idempotent request may or may not have run."""
+    """A non-idempotent request may or may not have run."""
 
     detail: str
 
 
 @dataclass(slots=True, frozen=True)
 class Failed:
-    """End an idempotent request whose coverage stayed below what its caller accepts."""
+    """An idempotent request ended with less coverage than its caller accepts."""
 
     detail: str
     coverage: Coverage | None
--- a/packages/geraniumlead/src/geraniumlead/requests/reasons.py
+++ b/packages/geraniumlead/src/geraniumlead/requests/reasons.py
@@ -1,10 +1,10 @@
-"""Name the reasons that callers are told."""
+"""Reasons that are reported to callers."""
 
 from enum import StrEnum
 
 
 class RefusalReason(StrEnum):
-    """Say why a request was not run."""
+    """The reason why a request was not run."""
 
     RATE = "rate"
     CONCURRENCY = "concurrency"
@@ -25,7 +25,7 @@
 
 
 class MissingReason(StrEnum):
-    """Say why a shard is missing from an answer."""
+    """The reason why a shard is missing from an answer."""
 
     NO_REPLICA = "no_replica"
     DEADLINE = "deadline"
--- a/packages/geraniumlead/src/geraniumlead/tickets/ticket_record.py
+++ b/packages/geraniumlead/src/geraniumlead/tickets/ticket_record.py
@@ -1,5 +1,3 @@
-"""Define what an instance remembers of a ticket."""
-
 from dataclasses import dataclass, field
 from enum import StrEnum
 
@@ -7,7 +5,7 @@
 
 
 class TicketState(StrEnum):
-    """Tell how far the ticket's request has come."""
+    """The state of a ticket's request."""
 
     UNUSED = "unused"
     RUNNING = "running"
@@ -16,7 +14,10 @@
 
 @dataclass(slots=True)
 class TicketRecord:
-    """Remember one ticket; ``waiting`` are requests that get the running one's outcome."""
+    """What an instance remembers of a ticket.
+
+    ``waiting`` holds the IDs of repeats that will get the running request's outcome.
+    """
 
     customer: str
     class_name: str
--- a/packages/geraniumlead/src/geraniumlead/tickets/ticket_book.py
+++ b/packages/geraniumlead/src/geraniumlead/tickets/ticket_registry.py
@@ -1,5 +1,3 @@
-"""Remember the tickets that this incarnation issued."""
-
 from collections import deque
 from random import Random
 
@@ -9,23 +7,24 @@
 from geraniumlead.tickets.ticket_name import TicketName
 from geraniumlead.tickets.ticket_record import TicketRecord, TicketState
 
-REMEMBERED_PER_VALIDITY = 10
-"""A record is kept for this many validity times, so that late repeats learn the truth."""
+RETENTION_VALIDITY_TIMES = 10
+"""A record is kept for this many validity times, so that late repeats still get the outcome."""
 
 SERIAL_BITS = 64
 
-MOST_TICKETS = 50_000
-"""Tickets remembered at once. Asking for one costs a caller nothing, so without a bound one
-caller could fill the memory; docs/design/at-most-once.md has the bytes of one."""
+MAX_TICKETS = 50_000
+"""Maximum number of remembered tickets. Requesting a ticket costs a caller nothing, so without a
+limit one caller could exhaust the memory; see docs/design/at-most-once.md for the bytes per
+ticket."""
 
 
-class TicketBook:
-    """Issue tickets and let each one run once.
+class TicketRegistry:
+    """Issues tickets and lets the request of each ticket run at most once.
 
-    Load pattern: callers send a booking again, to this or another instance, when an answer
-    is late. Without the book each arrival would run, and a member would owe twice. Nothing
-    is shared or stored: only the incarnation that issued a ticket runs it, from its memory,
-    so no list of instances, however stale, can let a second instance run it.
+    When an answer is late, callers repeat a booking at this or another instance. Without the
+    registry each arrival would run, and a member would be charged twice. The registry is
+    neither shared nor stored: only the incarnation that issued a ticket runs its request, from
+    its own memory, so even a stale list of instances cannot let a second instance run it.
     """
 
     __slots__ = ("_by_age", "_incarnation", "_instance_id", "_random", "_records", "_valid_ms")
@@ -43,9 +42,9 @@
         return len(self._records)
 
     def issue(self, customer: str, class_name: str, now_ms: float) -> str | None:
-        """Return the text of a new ticket for one request of the class, None when full."""
-        self._forget(now_ms)
-        if len(self._records) >= MOST_TICKETS:
+        """Return the text of a new ticket for one request of the class, or None if full."""
+        self._forget_expired(now_ms)
+        if len(self._records) >= MAX_TICKETS:
             return None
         serial = f"{self._random.getrandbits(SERIAL_BITS):016x}"
         text = TicketName(self._instance_id, self._incarnation, serial).to_text()
@@ -53,19 +52,19 @@
             customer=customer,
             class_name=class_name,
             expires_ms=now_ms + self._valid_ms,
-            forget_ms=now_ms + REMEMBERED_PER_VALIDITY * self._valid_ms,
+            forget_ms=now_ms + RETENTION_VALIDITY_TIMES * self._valid_ms,
         )
         self._by_age.append(text)
         return text
 
     def claim(self, request: CallerRequest, now_ms: float) -> Outcome | None:
-        """Return None when the request may run now, else the outcome that it already has.
+        """Return the outcome that the request already has, or None if it has none.
 
-        A repeat of a running request is not answered here: see ``wait_for``.
+        A repeat of a running request also gets None here: see ``wait_for``.
         """
         record = self._records.get(request.ticket or "")
         if record is None:
-            # A forgotten ticket may have run long ago, so "not run" would be a guess.
+            # The request of a forgotten ticket may have run long ago, so "not run" could be false.
             return Unknown("the ticket is no longer remembered")
         if (record.customer, record.class_name) != (request.customer, request.class_name):
             return NotRun(RefusalReason.TICKET_INVALID, 0.0)
@@ -81,17 +80,17 @@
         return record is not None and record.state is TicketState.RUNNING
 
     def wait_for(self, ticket: str, request_id: str) -> None:
-        """Let a repeat get the outcome of the running request."""
+        """Register a repeat to get the outcome of the running request."""
         self._records[ticket].waiting.append(request_id)
 
     def start(self, ticket: str) -> None:
-        """Mark the ticket as used, before anything is sent."""
+        """Mark the ticket as used, before any subquery is sent."""
         self._records[ticket].state = TicketState.RUNNING
 
     def finish(self, ticket: str, outcome: Outcome) -> list[str]:
-        """Remember the outcome; return the repeats that wait for it.
+        """Store the outcome; return the IDs of the repeats that wait for it.
 
-        A request that surely did not run leaves its ticket unused, so that the caller may
+        A request that certainly did not run leaves its ticket unused, so that the caller can
         send it again.
         """
         record = self._records.get(ticket)
@@ -104,7 +103,7 @@
             record.state, record.outcome = TicketState.ENDED, outcome
         return waiting
 
-    def _forget(self, now_ms: float) -> None:
+    def _forget_expired(self, now_ms: float) -> None:
         while self._by_age:
             record = self._records[self._by_age[0]]
             if record.forget_ms > now_ms or record.state is TicketState.RUNNING:
--- a/packages/geraniumlead/tests/core_tests/builders.py
+++ b/packages/geraniumlead/tests/core_tests/builders.py
@@ -1,4 +1,4 @@
-"""Build test data; every builder takes only what its test is about."""
+"""Builders of test data, whose arguments are only the values that matter to a test."""
 
 from hashlib import sha256
 
--- a/packages/geraniumlead/tests/core_tests/coordination/test_booking_on_other_version.py
+++ b/packages/geraniumlead/tests/core_tests/coordination/test_booking_on_other_version.py
@@ -1,17 +1,17 @@
-"""Test what becomes of a booking that ran on an index version it was not sent to."""
+"""Test bookings that ran on an unexpected index version or on only some of the shards."""
 
 from unittest import TestCase
 
-from geraniumlead.events import QueryArrived, TicketAsked
+from geraniumlead.events import QueryArrived, TicketRequested
 from geraniumlead.requests import CallerRequest, Unknown
 from geraniumlead_standins.virtual.small_cluster import ClusterSize, SmallCluster
 
 
 class BookingOnOtherVersionTests(TestCase):
-    """Data is repartitioned while a booking is on its way, and the upstream answers it from
-    the version it now holds. The coordinator took the answer for a refusal and sent the
-    booking to the next replica, where it ran again; the caller saw one answer, and a member
-    owed twice. An answer with records means that it ran: the outcome is unknown to it."""
+    """The index is repartitioned while a booking is in transit, and the upstream answers from
+    the version that it now holds. An answer with records means that the booking ran. If the
+    coordinator treats it as a refusal, the booking runs again on the next replica: the caller
+    sees one answer, and a member is charged twice. The outcome must be Unknown."""
 
     def test_it_is_not_sent_to_a_second_replica(self):
         cluster = SmallCluster.from_size(ClusterSize(shards=1, replicas=2), seed=1)
@@ -20,7 +20,7 @@
         run.queue.run_until(5_000.0)
         for upstream in run.upstreams.values():
             upstream.holds, upstream.answers_newest = {2: {0}}, True
-        run.deliver("noord-0", TicketAsked("t", "acme", "booking"))
+        run.deliver("noord-0", TicketRequested("t", "acme", "booking"))
         ticket = outcomes.pop().ticket
         request = CallerRequest(
             "r", "acme", "booking", b"{}", 5_000.0, 5_500.0, 1.0, key="k", ticket=ticket
@@ -32,9 +32,9 @@
 
 
 class BookingOfManyShardsTests(TestCase):
-    """A booking without a key goes to every shard. One upstream sheds it and the other runs
-    it; the caller was told "not run", since nothing was out any more, booked anew, and the
-    shard that had run it ran it twice."""
+    """A booking without a key goes to every shard; one upstream sheds it and the other runs it.
+    If the caller is told "not run" because no call is open, it sends the booking again, and
+    the shard that ran it runs it twice."""
 
     def test_a_part_that_ran_is_not_called_not_run(self):
         cluster = SmallCluster.from_size(ClusterSize(instances=1, shards=2, replicas=1), seed=1)
@@ -42,7 +42,7 @@
         run.on_answer = lambda name, action, now_ms: outcomes.append(action)
         run.queue.run_until(5_000.0)
         next(iter(run.upstreams.values())).is_draining = True
-        run.deliver("noord-0", TicketAsked("t", "acme", "booking"))
+        run.deliver("noord-0", TicketRequested("t", "acme", "booking"))
         ticket = outcomes.pop().ticket
         request = CallerRequest("r", "acme", "booking", b"{}", 5_000.0, 5_500.0, 1.0, ticket=ticket)
         run.deliver("noord-0", QueryArrived(request))
--- a/packages/geraniumlead/tests/core_tests/freshness/test_view_freshness.py
+++ b/packages/geraniumlead/tests/core_tests/freshness/test_view_freshness.py
@@ -1,10 +1,10 @@
-"""Test what confirms a view and what does not."""
+"""Test which replies and reads confirm a view."""
 
 from random import Random
 from unittest import TestCase
 
 from geraniumlead.freshness import ViewFreshness
-from geraniumlead.freshness.view_freshness import ALONE_MS, SETTLE_MS
+from geraniumlead.freshness.view_freshness import ISOLATION_TIMEOUT_MS, SETTLE_MS
 
 PAUSE_GAP_MS = 1_500.0
 WAKE_MS = 10_000.0
@@ -13,9 +13,9 @@
 def build_woken() -> ViewFreshness:
     """Return the freshness of a process that was paused until ``WAKE_MS``."""
     freshness = ViewFreshness(PAUSE_GAP_MS, Random(1), 0.0)
-    freshness.take_read(freshness.read_number, 5, 0)
+    freshness.record_read(freshness.read_number, 5, 0)
     freshness.settle(5, 1.0)
-    freshness.note_time(WAKE_MS)
+    freshness.detect_pause(WAKE_MS)
     return freshness
 
 
@@ -26,40 +26,40 @@
 
     def test_all_asked_peers_confirm_at_once(self):
         freshness = build_woken()
-        freshness.note_asked(["a", "b"])
-        freshness.take_reply("a", freshness.nonce, 5, True)
+        freshness.record_probes(["a", "b"])
+        freshness.record_reply("a", freshness.nonce, 5, True)
         self.assertFalse(freshness.settle(5, WAKE_MS + 1))
-        freshness.take_reply("b", freshness.nonce, 5, False)
+        freshness.record_reply("b", freshness.nonce, 5, False)
         self.assertTrue(freshness.settle(5, WAKE_MS + 1))
 
     def test_one_fresh_peer_confirms_after_the_settle_time(self):
         freshness = build_woken()
-        freshness.note_asked(["a", "b"])
-        freshness.take_reply("a", freshness.nonce, 5, True)
+        freshness.record_probes(["a", "b"])
+        freshness.record_reply("a", freshness.nonce, 5, True)
         self.assertTrue(freshness.settle(5, WAKE_MS + SETTLE_MS))
 
     def test_a_higher_revision_must_be_in_force_first(self):
         freshness = build_woken()
-        freshness.note_asked(["a"])
-        freshness.take_reply("a", freshness.nonce, 9, True)
-        self.assertFalse(freshness.settle(5, WAKE_MS + ALONE_MS))
-        self.assertTrue(freshness.settle(9, WAKE_MS + ALONE_MS))
+        freshness.record_probes(["a"])
+        freshness.record_reply("a", freshness.nonce, 9, True)
+        self.assertFalse(freshness.settle(5, WAKE_MS + ISOLATION_TIMEOUT_MS))
+        self.assertTrue(freshness.settle(9, WAKE_MS + ISOLATION_TIMEOUT_MS))
 
     def test_answers_of_before_the_wake_confirm_nothing(self):
         freshness = ViewFreshness(PAUSE_GAP_MS, Random(1), 0.0)
         nonce, number = freshness.nonce, freshness.read_number
-        freshness.note_time(WAKE_MS)
-        freshness.note_asked(["a"])
-        self.assertFalse(freshness.take_reply("a", nonce, 5, True))
-        freshness.take_read(number, 5, 5)
+        freshness.detect_pause(WAKE_MS)
+        freshness.record_probes(["a"])
+        self.assertFalse(freshness.record_reply("a", nonce, 5, True))
+        freshness.record_read(number, 5, 5)
         self.assertFalse(freshness.settle(5, WAKE_MS + SETTLE_MS))
 
     def test_a_platform_that_is_behind_confirms_nothing(self):
         freshness = build_woken()
-        freshness.take_read(freshness.read_number, 4, 5)
+        freshness.record_read(freshness.read_number, 4, 5)
         self.assertFalse(freshness.settle(5, WAKE_MS + SETTLE_MS))
 
     def test_without_documents_it_never_serves(self):
         freshness = ViewFreshness(PAUSE_GAP_MS, Random(1), 0.0)
-        self.assertFalse(freshness.settle(0, 100 * ALONE_MS))
+        self.assertFalse(freshness.settle(0, 100 * ISOLATION_TIMEOUT_MS))
         self.assertFalse(freshness.may_send)
--- a/packages/geraniumlead/tests/core_tests/tickets/__init__.py
+++ b/packages/geraniumlead/tests/core_tests/tickets/__init__.py
@@ -1,1 +1,1 @@
-"""Test the tickets."""
+"""Tests of tickets."""
--- a/packages/geraniumlead/tests/core_tests/tickets/test_repeats.py
+++ b/packages/geraniumlead/tests/core_tests/tickets/test_repeats.py
@@ -1,19 +1,19 @@
-"""Test bookings that are sent again while the first sending is still open."""
+"""Test bookings that are repeated while the first request is still open."""
 
 from unittest import TestCase
 from unittest.mock import patch
 
 from geraniumlead.admission import AdmissionController, Admitted, Queued
-from geraniumlead.events import QueryArrived, TicketAsked
+from geraniumlead.events import QueryArrived, TicketRequested
 from geraniumlead.requests import Answered, CallerRequest, Unknown
-from geraniumlead.tickets import ticket_book
+from geraniumlead.tickets import ticket_registry
 from geraniumlead_standins.virtual.small_cluster import ClusterSize, SmallCluster
 
 START_MS = 5_000.0
 
 
 class Booking:
-    """Hold one instance with one slow upstream, and a ticket."""
+    """One instance with one slow upstream, and a ticket."""
 
     def __init__(self, slowdown: float) -> None:
         size = ClusterSize(instances=1, shards=1, replicas=1)
@@ -23,7 +23,7 @@
         self.run.queue.run_until(START_MS)
         self.upstream = next(iter(self.run.upstreams.values()))
         self.upstream.slowdown = slowdown
-        self.run.deliver("noord-0", TicketAsked("ask", "acme", "booking"))
+        self.run.deliver("noord-0", TicketRequested("ask", "acme", "booking"))
 
     def _take(self, name, action, now_ms: float) -> None:
         if action.request_id == "ask":
@@ -49,10 +49,10 @@
 
 class RepeatTests(TestCase):
     def test_a_repeat_of_a_queued_booking_does_not_run_beside_it(self):
-        """The instance is full, so a booking waits in the queue; its caller sends it again.
+        """The instance is full, so a booking is queued, and its caller repeats it.
 
-        The ticket was marked as used only when the booking left the queue. The repeat found
-        it unused and was queued too, and when places came free both ran.
+        If the ticket is marked as used only when the booking leaves the queue, the repeat finds
+        it unused and is queued too, and both run once slots are free.
         """
         booking = Booking(slowdown=1.0)
         queued: list[CallerRequest] = []
@@ -78,10 +78,10 @@
         self.assertIsInstance(booking.answers["repeat"][0], Answered)
 
     def test_a_repeat_is_answered_by_its_own_deadline(self):
-        """A caller sends a running booking again, with less time than the first sending had.
+        """A caller repeats a running booking with less time left than the first request.
 
-        The repeat waited for the running one's outcome, past its own deadline, and its
-        caller saw no answer at all.
+        If the repeat waits for the running request's outcome past its own deadline, its caller
+        gets no answer.
         """
         booking = Booking(slowdown=75.0)
         booking.send("first", 450.0)
@@ -93,9 +93,9 @@
         self.assertEqual(1, booking.upstream.received)
 
     def test_tickets_that_nobody_uses_are_bounded(self):
-        """A caller asks for tickets in a loop and uses none; the memory must not follow."""
+        """A caller requests tickets in a loop and uses none; the memory used must stay bounded."""
         booking = Booking(slowdown=1.0)
-        with patch.object(ticket_book, "MOST_TICKETS", 10):
+        with patch.object(ticket_registry, "MAX_TICKETS", 10):
             for _ in range(20):
-                booking.run.deliver("noord-0", TicketAsked("ask", "acme", "booking"))
+                booking.run.deliver("noord-0", TicketRequested("ask", "acme", "booking"))
         self.assertIsNone(booking.ticket)
