--- a/packages/geraniumlead/src/geraniumlead/coordination/coordinator.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/coordinator.py
@@ -4,7 +4,7 @@
 from geraniumlead.coordination.budget_registry import BudgetRegistry
 from geraniumlead.coordination.call_tracker import CallTracker
 from geraniumlead.coordination.crash_guard import CrashGuard
-from geraniumlead.coordination.missing import missing_reason_of
+from geraniumlead.coordination.missing_reason import missing_reason_of
 from geraniumlead.coordination.open_call import OpenCall
 from geraniumlead.coordination.open_query import OpenQuery
 from geraniumlead.coordination.outcome import decide_outcome
@@ -70,7 +70,7 @@
         self, request: CallerRequest, traffic_class: TrafficClass, plan: QueryPlan, now_ms: float
     ) -> list[CoordinationStep]:
         """Send the first subqueries of a query."""
-        fingerprint = self.guard.identify(request)
+        fingerprint = self.guard.fingerprint_of(request)
         canary = self.guard.plan_canary(plan, fingerprint)
         first_plan = plan if canary is None else canary.plan
         query = OpenQuery.from_plan(request, traffic_class, first_plan, now_ms)
@@ -140,9 +140,9 @@
         query, shard = call.query, call.shard
         if shard.is_resolved:
             return []
-        may_try_again = True
+        may_retry = True
         if isinstance(answer, ConnectionLost):
-            may_try_again = self._record_connection_loss(call, now_ms)
+            may_retry = self._record_connection_loss(call, now_ms)
         match answer:
             case Records() if self._matches_plan(query, shard, answer):
                 return self._resolve(query, shard, answer.records, None, now_ms)
@@ -157,7 +157,7 @@
                 # The upstream may have run the request, so a retry could run it twice.
                 outcome = Unknown("the connection to the upstream ended without an answer")
                 return self._end(query, outcome, now_ms)
-        if not may_try_again and not shard.call_ids:
+        if not may_retry and not shard.call_ids:
             return self._resolve(query, shard, None, MissingReason.CONNECTION_LOST, now_ms)
         return self._retry(query, shard, answer, now_ms)
 
@@ -261,10 +261,10 @@
         if query.canary is not None and self.guard.is_suspected(query):
             # The query may have crashed all replicas; waiting for them would occupy a slot.
             return False
-        armed_ms = query.next_check_ms
+        previous_check_ms = query.next_check_ms
         if not self._stragglers.park(query, shard, reason, now_ms):
             return False
-        if query.next_check_ms < armed_ms:
+        if query.next_check_ms < previous_check_ms:
             self._schedule_check(query)
         return True
 
@@ -279,9 +279,9 @@
     ) -> list[CoordinationStep]:
         steps: list[CoordinationStep] = []
         for shard in shards:
-            asked = self._calls.send_subquery(query, shard, now_ms)
-            steps += asked
-            if asked:
+            sent = self._calls.send_subquery(query, shard, now_ms)
+            steps += sent
+            if sent:
                 steps += self._probe(query, shard, now_ms)
             elif not self._park(query, shard, MissingReason.NO_REPLICA, now_ms):
                 steps += self._resolve(query, shard, None, MissingReason.NO_REPLICA, now_ms)
--- a/packages/geraniumlead/src/geraniumlead/coordination/crash_guard.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/crash_guard.py
@@ -26,7 +26,7 @@
         """Use a new view."""
         self._planner.update(view)
 
-    def identify(self, request: CallerRequest) -> int:
+    def fingerprint_of(self, request: CallerRequest) -> int:
         """Return the fingerprint of a request."""
         return compute_fingerprint(request.customer, request.class_name, request.query)
 
--- a/packages/geraniumlead/src/geraniumlead/freshness/view_freshness.py
+++ b/packages/geraniumlead/src/geraniumlead/freshness/view_freshness.py
@@ -101,7 +101,7 @@
             # The first documents list the peers, so they are probed now and not one round later.
             self.next_round_ms = float("-inf")
 
-    def is_round_due(self, now_ms: float) -> bool:
+    def begin_round_if_due(self, now_ms: float) -> bool:
         """Return whether to probe peers now; if so, schedule the next round."""
         if self.is_confirmed or now_ms < self.next_round_ms:
             return False
--- a/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
@@ -199,11 +199,13 @@
         list_key = document_key(DocumentKind.INSTANCE_LIST, parts.settings.data_centre)
         steps = parts.dispatcher.update(view, owners, parts.store.revision_of(list_key), now_ms)
         self._calls.run_dispatch(steps, now_ms)
-        wanted = parts.membership.is_watcher()
-        if wanted != self.is_watching:
-            self.is_watching = wanted
+        should_watch = parts.membership.is_watcher()
+        if should_watch != self.is_watching:
+            self.is_watching = should_watch
             number = parts.freshness.read_number
-            parts.actions.append(ReadPlatform(wanted, stop=not wanted, read_number=number))
+            parts.actions.append(
+                ReadPlatform(should_watch, stop=not should_watch, read_number=number)
+            )
 
 
 def _size_of(update: DocumentsUpdate) -> int:
--- a/packages/geraniumlead/src/geraniumlead/instance/freshness_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/freshness_handler.py
@@ -58,10 +58,10 @@
     def handle_reply(self, sender_id: str, message: ProbeReply, now_ms: float) -> None:
         """Process a peer's reply, and request newer documents from the peer."""
         parts = self._parts
-        taken = parts.freshness.record_reply(
+        is_accepted = parts.freshness.record_reply(
             sender_id, message.nonce, message.revision, message.is_fresh
         )
-        if taken and (message.revision > parts.store.revision or parts.store.lacks_last_good):
+        if is_accepted and (message.revision > parts.store.revision or parts.store.lacks_last_good):
             self._configuration.request_documents(sender_id, message.revision, now_ms)
 
     def run(self, now_ms: float) -> None:
@@ -69,18 +69,18 @@
         parts = self._parts
         if parts.freshness.is_confirmed:
             return
-        if parts.freshness.is_round_due(now_ms):
+        if parts.freshness.begin_round_if_due(now_ms):
             self._send_probes()
         if parts.freshness.settle(parts.store.revision, now_ms):
             self._release_held_work(now_ms)
 
     def _send_probes(self) -> None:
         parts = self._parts
-        asked = self._choose_probe_targets()
-        for peer_id in asked:
+        targets = self._choose_probe_targets()
+        for peer_id in targets:
             parts.send(peer_id, Probe(parts.freshness.nonce, parts.store.revision))
         if parts.is_configured:
-            parts.freshness.record_probes(asked)
+            parts.freshness.record_probes(targets)
         if self._should_read_platform():
             self._configuration.read_platform()
 
--- a/packages/geraniumlead/src/geraniumlead/instance/request_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/request_handler.py
@@ -90,7 +90,7 @@
         if self.held.drop(request_id):
             return
         # A request with a ticket continues: its caller may ask for the outcome again.
-        if self._parts.tickets.is_ticketed(request_id):
+        if self._parts.tickets.has_ticket(request_id):
             return
         self._parts.admission.release(request_id, now_ms)
         self._calls.run_coordination(self._parts.coordinator.cancel(request_id, now_ms), now_ms)
--- a/packages/geraniumlead/src/geraniumlead/instance/ticket_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/ticket_handler.py
@@ -45,8 +45,8 @@
     ) -> "TicketHandler":
         """Create the handler of one incarnation."""
         valid_ms = settings.timing.ticket_valid_ms
-        book = TicketRegistry(settings.instance_id, incarnation, valid_ms, random)
-        return cls(book, settings.instance_id, incarnation)
+        registry = TicketRegistry(settings.instance_id, incarnation, valid_ms, random)
+        return cls(registry, settings.instance_id, incarnation)
 
     @property
     def open_count(self) -> int:
@@ -86,7 +86,7 @@
         """Let a repeat wait for the running request; return False if none is running."""
         if not self._registry.is_running(request.ticket or ""):
             return False
-        self._registry.wait_for(request.ticket or "", request.request_id)
+        self._registry.add_waiting_repeat(request.ticket or "", request.request_id)
         self._waiting_repeats[request.request_id] = request
         return True
 
@@ -103,7 +103,7 @@
             self._waiting_repeats.pop(name) for name in waiting if name in self._waiting_repeats
         ]
 
-    def is_ticketed(self, request_id: str) -> bool:
+    def has_ticket(self, request_id: str) -> bool:
         """Return whether an open request came with a ticket."""
         return request_id in self._requests or request_id in self._waiting_repeats
 
--- a/packages/geraniumlead/src/geraniumlead/tickets/ticket_registry.py
+++ b/packages/geraniumlead/src/geraniumlead/tickets/ticket_registry.py
@@ -60,7 +60,7 @@
     def claim(self, request: CallerRequest, now_ms: float) -> Outcome | None:
         """Return the outcome that the request already has, or None if it has none.
 
-        A repeat of a running request also gets None here: see ``wait_for``.
+        A repeat of a running request also gets None here: see ``add_waiting_repeat``.
         """
         record = self._records.get(request.ticket or "")
         if record is None:
@@ -79,7 +79,7 @@
         record = self._records.get(ticket)
         return record is not None and record.state is TicketState.RUNNING
 
-    def wait_for(self, ticket: str, request_id: str) -> None:
+    def add_waiting_repeat(self, ticket: str, request_id: str) -> None:
         """Register a repeat to get the outcome of the running request."""
         self._records[ticket].waiting.append(request_id)
 
--- a/packages/geraniumlead/tests/core_tests/tickets/test_repeats.py
+++ b/packages/geraniumlead/tests/core_tests/tickets/test_repeats.py
@@ -19,13 +19,13 @@
         size = ClusterSize(instances=1, shards=1, replicas=1)
         self.run = SmallCluster.from_size(size, seed=1).run
         self.answers: dict[str, tuple[object, float]] = {}
-        self.run.on_answer = self._take
+        self.run.on_answer = self._record_answer
         self.run.queue.run_until(START_MS)
         self.upstream = next(iter(self.run.upstreams.values()))
         self.upstream.slowdown = slowdown
         self.run.deliver("noord-0", TicketRequested("ask", "acme", "booking"))
 
-    def _take(self, name, action, now_ms: float) -> None:
+    def _record_answer(self, name, action, now_ms: float) -> None:
         if action.request_id == "ask":
             self.ticket = action.ticket
         else:
