--- a/packages/geraniumlead/src/geraniumlead/coordination/call_book.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/call_book.py
@@ -51,13 +51,13 @@
 
     def has_suspects(self) -> bool:
         """Return whether a replica is suspected and may want a probe."""
-        return bool(self._router.suspected())
+        return bool(self._router.suspected_upstreams())
 
     def probe_suspect(
         self, query: OpenQuery, shard: ShardState, now_ms: float
     ) -> list[AskUpstream]:
         """Send the subquery also to a suspected replica, to see whether it has recovered."""
-        route = self._router.take_probe(shard.plan.replicas, shard.tried, now_ms)
+        route = self._router.choose_probe(shard.plan.replicas, shard.tried, now_ms)
         if route is None:
             return []
         step = self._send(query, shard, route, now_ms, is_probe=True)
@@ -71,7 +71,7 @@
         if call is None:
             return None
         latency_ms = now_ms - call.sent_ms
-        self._router.note_answer(call.route.upstream_id, answer, latency_ms, now_ms)
+        self._router.record_answer(call.route.upstream_id, answer, latency_ms, now_ms)
         if call.is_probe:
             call.query.probe_ids.remove(call_id)
             return None
@@ -87,7 +87,7 @@
         owner may have run them, and only their own deadline makes the outcome unknown.
         """
         owners = {call.route.owner_id for call in self._calls.values()} - {None}
-        lost = {name for name in owners if not self._router.reaches(name, now_ms)}
+        lost = {name for name in owners if not self._router.is_reachable(name, now_ms)}
         if not lost:
             return []
         return [
@@ -109,7 +109,7 @@
         """Tell the router of a shard whose latest call is late."""
         shard.is_overdue = True
         call = self._calls[shard.call_ids[-1]]
-        self._router.note_overdue(call.route.upstream_id, now_ms)
+        self._router.record_overdue(call.route.upstream_id, now_ms)
 
     def drop_shard(self, shard: ShardState, now_ms: float) -> list[CoordinationStep]:
         """Cancel the calls that are out for a shard."""
@@ -134,7 +134,7 @@
 
     def _drop(self, call_id: str, now_ms: float) -> DropCall:
         call = self._calls.pop(call_id)
-        self._router.note_cancelled(call.route.upstream_id, now_ms - call.sent_ms, now_ms)
+        self._router.record_cancelled(call.route.upstream_id, now_ms - call.sent_ms, now_ms)
         return DropCall(call_id, call.route)
 
     def _send(
@@ -148,7 +148,7 @@
         self._next_call += 1
         call_id = f"{self._prefix}{self._next_call}"
         self._calls[call_id] = OpenCall(query, shard, route, now_ms, is_probe)
-        self._router.note_sent(route.upstream_id)
+        self._router.record_sent(route.upstream_id)
         query.subqueries += 1
         request = query.request
         subquery = Subquery(
--- a/packages/geraniumlead/src/geraniumlead/coordination/coordinator.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/coordinator.py
@@ -22,7 +22,7 @@
 from geraniumlead.routing.router import Router
 from geraniumlead.tail.straggler_detector import StragglerDetector
 from geraniumlead.upstreams.answers import (
-    SURELY_NOT_RUN,
+    NOT_EXECUTED,
     Cold,
     ConnectionLost,
     Draining,
@@ -154,7 +154,7 @@
                 return self._end(query, outcome, now_ms)
             case Records() | WrongVersion():
                 return self._retire_replica(call, now_ms)
-            case _ if not query.traffic_class.idempotent and not isinstance(answer, SURELY_NOT_RUN):
+            case _ if not query.traffic_class.idempotent and not isinstance(answer, NOT_EXECUTED):
                 # The upstream may have run the request, so a second try might run it twice.
                 outcome = Unknown("the connection to the upstream ended without an answer")
                 return self._end(query, outcome, now_ms)
--- a/packages/geraniumlead/src/geraniumlead/instance/upstream_report.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/upstream_report.py
@@ -14,7 +14,7 @@
     """
     gates = {gate.entry.upstream_id: gate for gate in parts.dispatcher.gates()}
     phases = parts.cold_start.phases()
-    suspected = parts.router.suspected()
+    suspected = parts.router.suspected_upstreams()
     view = parts.store.view
     report = {}
     for upstream_id, placed in view.upstreams.items():
@@ -51,7 +51,7 @@
     conditions = []
     if placed.entry.state == "leaving":
         conditions.append("leaving")
-    if not view.is_data_centre_in(placed.data_centre):
+    if not view.is_data_centre_in_service(placed.data_centre):
         conditions.append("out")
     return conditions
 
--- a/packages/geraniumlead/src/geraniumlead/planning/plan_query.py
+++ b/packages/geraniumlead/src/geraniumlead/planning/plan_query.py
@@ -14,23 +14,23 @@
     key: str | None,
     excluded_versions: Collection[int] = (),
 ) -> QueryPlan | None:
-    """Plan a query on the newest version that can cover every shard.
+    """Plan a query on the newest index version of which every shard has a usable replica.
 
-    Without such a version, the one with the most covered shards is taken, the newer one of
-    equals. ``excluded_versions`` were found retired by this query. None when no version of
-    the service is being served.
+    Without such a version, use the one with the most shards that have a usable replica, and the
+    newest of equals. ``excluded_versions`` are those that this query found to be retired. Return
+    None if no other version of the service is being served.
     """
     best: QueryPlan | None = None
-    best_covered = -1
+    best_available = -1
     for index in view.indexes.get(service, ()):
         if index.version in excluded_versions:
             continue
         plan = _plan_version(view, index, key)
-        covered = sum(1 for shard in plan.shards if shard.replicas)
-        if covered == len(plan.shards):
+        available = sum(1 for shard in plan.shards if shard.replicas)
+        if available == len(plan.shards):
             return plan
-        if covered > best_covered:
-            best, best_covered = plan, covered
+        if available > best_available:
+            best, best_available = plan, available
     return best
 
 
--- a/packages/geraniumlead/src/geraniumlead/planning/query_plan.py
+++ b/packages/geraniumlead/src/geraniumlead/planning/query_plan.py
@@ -1,11 +1,9 @@
-"""Define the plan of a query."""
-
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class ShardPlan:
-    """Name a shard and the usable upstreams that hold it, in published order."""
+    """A shard and the usable upstreams that hold it, in published order."""
 
     shard: int
     replicas: tuple[str, ...]
@@ -13,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QueryPlan:
-    """Fix the one index version from which every record of an answer comes."""
+    """The shards of a query, in the one index version that all records of the answer come from."""
 
     service: str
     index_version: int
--- a/packages/geraniumlead/src/geraniumlead/routing/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choose the replica of a shard and the owner through which it is reached."""
+"""Choose a replica of a shard and the owner to send the subquery through."""
 
 from geraniumlead.routing.route import Route
 from geraniumlead.routing.router import Router
--- a/packages/geraniumlead/src/geraniumlead/routing/replica_group.py
+++ b/packages/geraniumlead/src/geraniumlead/routing/replica_group.py
@@ -1,5 +1,3 @@
-"""Group the replicas of one shard by how near they are."""
-
 from dataclasses import dataclass
 
 from geraniumlead.routing.replica import Replica
@@ -7,7 +5,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplicaGroup:
-    """List the usable replicas of a shard in tiers: own data centre, own region, elsewhere."""
+    """The usable replicas of a shard in tiers: own data centre, own region, elsewhere."""
 
     tiers: tuple[tuple[Replica, ...], ...]
 
--- a/packages/geraniumlead/src/geraniumlead/routing/route.py
+++ b/packages/geraniumlead/src/geraniumlead/routing/route.py
@@ -1,11 +1,9 @@
-"""Define the way of one subquery."""
-
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Name the upstream, and the owner to send through; None is this instance itself."""
+    """The upstream of a subquery and the owner to send it through; None is this instance."""
 
     upstream_id: str
     owner_id: str | None
--- a/packages/geraniumlead/src/geraniumlead/routing/router.py
+++ b/packages/geraniumlead/src/geraniumlead/routing/router.py
@@ -1,5 +1,3 @@
-"""Choose where a subquery goes."""
-
 from collections.abc import Collection
 from random import Random
 
@@ -26,34 +24,41 @@
 )
 
 COLD_HINT_MS = 500.0
-"""Time for which an upstream that an owner called cold is reached through slot holders only."""
+"""Time for which an upstream is used through slot holders only after an owner reported it cold.
+
+It is also the longest time for which a replica is avoided after it shed a call.
+"""
 
-DISTRUST_SHARE = 0.6
-"""Part of the replicas in use up to which suspicions are believed.
+MAX_SUSPECTED_SHARE = 0.6
+"""Share of the replicas in use up to which suspicions are acted on.
 
-It is above one half, as one of two replicas of every shard may be lost with a rack: a single
-chance suspicion more would then send half of the load back to the lost ones.
+It is above one half, because a rack failure may take one of the two replicas of every shard.
+With a limit of one half, a single false suspicion more would send half of the load back to the
+lost replicas.
 """
 
-SAME_SCORE = 1.5
-"""Ratio up to which two replicas count as equal."""
+EQUAL_SCORE_RATIO = 1.5
+"""Ratio of their scores up to which two replicas count as equal."""
 
 BUSY_IN_FLIGHT = 3
-"""Calls in flight from here at which a replica counts as busy; a share of one slot holds one."""
+"""Calls in flight from this instance at which a replica counts as busy.
+
+A share of one slot runs only one of them at a time.
+"""
 
 PROBE_INTERVAL_MS = 500.0
-"""Time between probes of a suspected replica: recovery shows within a second."""
+"""Interval between probes of a suspected replica, so that a recovery shows within a second."""
 
 
 class Router:
-    """Choose a near replica with a short expected wait, and the owner that reaches it.
-
-    Load pattern: some replicas are slower or busier than others. Sending in turn makes the
-    slowest replica of each shard set the latency; sending to the best known one makes all
-    instances rush at it. Two random choices, compared by calls in flight times latency
-    seen, avoid both (Mitzenmacher, 2001; Prequal, NSDI 2024). If more than three in five
-    replicas in use look bad, the fault is probably this instance's own, so suspicions are
-    ignored and the load is spread.
+    """Chooses a near replica with a short expected wait, and the owner to send through.
+
+    Load pattern: some replicas are slower or busier than others. With round-robin the slowest
+    replica of each shard determines the latency. If every instance chooses the best known
+    replica, together they overload it. Taking the better of two random replicas, compared by
+    calls in flight times observed latency, avoids both (Mitzenmacher, 2001; Prequal, NSDI
+    2024). If more than three in five replicas in use are suspected, the fault is probably this
+    instance's own, so suspicions are ignored and the load is spread.
     """
 
     __slots__ = (
@@ -92,7 +97,7 @@
         self._suspected: set[str] = set()
 
     def update(self, view: ClusterView, owners: OwnerTable) -> None:
-        """Take over a new view; what was seen of the upstreams that stay is kept."""
+        """Apply a new view. The observed state of upstreams that remain is kept."""
         self._view, self._owners = view, owners
         self._groups.clear()
         for upstream_id in self._replicas.keys() - view.upstreams.keys():
@@ -110,49 +115,50 @@
         long_running: bool = False,
         only_good: bool = False,
     ) -> Route | None:
-        """Return the best way to one of ``replicas`` that was not tried, or None.
+        """Return the best route to one of ``replicas`` that was not tried, or None.
 
-        With ``only_good`` a replica that looks bad is not taken for want of a better one.
+        With ``only_good`` there is no fallback to replicas that are avoided or known to be cold.
         """
         group = self._group_of(replicas)
         for tier in group.tiers:
-            good = []
+            candidates = []
             for replica in tier:
-                if replica.upstream_id in tried or self._looks_bad(replica, now_ms):
+                if replica.upstream_id in tried or self._should_avoid(replica, now_ms):
                     continue
                 if not self._is_known_cold(replica, now_ms):
-                    good.append(replica)
+                    candidates.append(replica)
                 elif replica.is_own and self._has_free_cold_slot(replica, now_ms):
-                    # A free cold slot is used first: that is how the upstream gets warm.
+                    # A free cold slot is used first, because this warms up the upstream.
                     return Route(replica.upstream_id, None)
-            idle = self._find_idle_suspect(tier, good, tried, now_ms)
-            while good:
-                replica = idle or self._pick(good, now_ms)
-                idle = None
+            idle_suspect = self._find_idle_suspect(tier, candidates, tried, now_ms)
+            while candidates:
+                replica = idle_suspect or self._pick_of_two(candidates, now_ms)
+                idle_suspect = None
                 route = self._route_to(replica, now_ms, long_running)
                 if route is not None:
                     return route
-                if replica in good:
-                    good.remove(replica)
+                if replica in candidates:
+                    candidates.remove(replica)
         if only_good:
             return None
-        return self._choose_last_resort(group, tried, now_ms, long_running)
+        return self._choose_fallback(group, tried, now_ms, long_running)
 
     def _find_idle_suspect(
         self,
         tier: Collection[Replica],
-        good: list[Replica],
+        candidates: list[Replica],
         tried: Collection[str],
         now_ms: float,
     ) -> Replica | None:
-        """Return a suspected replica that is idle while all good ones are busy.
+        """Return a suspected replica that is idle while all candidates are busy.
 
-        Under overload answers are late because calls wait, and a suspicion then takes half of
-        a shard's capacity away. One call at a time shows whether the replica is slow.
+        Under overload, answers are late because calls wait in queues, and a suspicion then
+        removes half of a shard's capacity. One call at a time shows whether the replica is
+        slow.
         """
-        if not self._suspected or not good:
+        if not self._suspected or not candidates:
             return None
-        if min(replica.in_flight for replica in good) < BUSY_IN_FLIGHT:
+        if min(replica.in_flight for replica in candidates) < BUSY_IN_FLIGHT:
             return None
         for replica in tier:
             is_idle = replica.is_suspected and replica.in_flight == 0
@@ -160,13 +166,13 @@
                 return None if self._is_known_cold(replica, now_ms) else replica
         return None
 
-    def take_probe(
+    def choose_probe(
         self, replicas: tuple[str, ...], tried: Collection[str], now_ms: float
     ) -> Route | None:
-        """Return the way to a suspected replica that is due for a probe.
+        """Return a route to a suspected replica that is due for a probe, or None.
 
-        A replica that gets nothing can't be seen to recover. The probe is sent beside the
-        normal subquery, so no caller waits for it.
+        A replica that gets no calls cannot be seen to recover. The probe is sent in addition to
+        the normal subquery, so no caller waits for it.
         """
         if not self._suspected:
             return None
@@ -178,102 +184,104 @@
                 return self._route_to(replica, now_ms, False)
         return None
 
-    def note_sent(self, upstream_id: str) -> None:
-        """Count a subquery that is under way."""
+    def record_sent(self, upstream_id: str) -> None:
+        """Count a subquery as in flight."""
         self._replica(upstream_id).in_flight += 1
 
-    def note_answer(
+    def record_answer(
         self, upstream_id: str, answer: UpstreamAnswer, latency_ms: float, now_ms: float
     ) -> None:
-        """Learn from the end of a subquery."""
+        """Record how a subquery ended."""
         replica = self._replicas.get(upstream_id)
         if replica is None:
             return
         replica.in_flight -= 1
         match answer:
             case Records(cold=True):
-                replica.overdue_in_row = 0
+                replica.consecutive_overdue = 0
             case Records():
-                self._note_records(replica, latency_ms, now_ms)
+                self._record_success(replica, latency_ms, now_ms)
             case Cold():
                 replica.cold_until_ms = now_ms + COLD_HINT_MS
             case TimedOut(silent_connection=True):
                 pass
             case NotReached() | Draining() | ConnectionLost() | TimedOut() | UpstreamError():
-                replica.note_failure(now_ms)
+                replica.record_failure(now_ms)
             case Shed(retry_after_ms=retry_after_ms):
                 replica.avoid_until_ms = now_ms + min(retry_after_ms, COLD_HINT_MS)
 
-    def note_cancelled(self, upstream_id: str, elapsed_ms: float, now_ms: float) -> None:
-        """Count a subquery that was cancelled."""
+    def record_cancelled(self, upstream_id: str, elapsed_ms: float, now_ms: float) -> None:
+        """Record that a subquery was cancelled after ``elapsed_ms``."""
         replica = self._replicas.get(upstream_id)
         if replica is not None:
             replica.in_flight -= 1
-            replica.note_at_least(elapsed_ms, now_ms)
+            replica.record_latency_lower_bound(elapsed_ms, now_ms)
 
-    def note_overdue(self, upstream_id: str, now_ms: float) -> None:
-        """Count a subquery whose answer is late; suspect the replica after some in a row."""
+    def record_overdue(self, upstream_id: str, now_ms: float) -> None:
+        """Record that an answer is late. Suspect the replica after several in a row."""
         replica = self._replicas.get(upstream_id)
         if replica is None:
             return
-        replica.overdue_in_row += 1
-        if replica.overdue_in_row >= SUSPECT_AFTER_OVERDUE and not replica.is_suspected:
+        replica.consecutive_overdue += 1
+        if replica.consecutive_overdue >= SUSPECT_AFTER_OVERDUE and not replica.is_suspected:
             replica.is_suspected = True
             replica.probe_due_ms = now_ms + PROBE_INTERVAL_MS
             self._suspected.add(upstream_id)
 
-    def suspected(self) -> set[str]:
-        """Return the upstreams that answer late."""
+    def suspected_upstreams(self) -> set[str]:
+        """Return the upstreams that are suspected because of late answers."""
         return self._suspected
 
-    def _note_records(self, replica: Replica, latency_ms: float, now_ms: float) -> None:
+    def _record_success(self, replica: Replica, latency_ms: float, now_ms: float) -> None:
         if replica.is_suspected:
-            others = [
+            latencies_ms = [
                 other.latency_ms
                 for other in self._replicas.values()
                 if other.latency_ms and not other.is_suspected
             ]
-            typical_ms = sorted(others)[len(others) // 2] if others else latency_ms
-            if latency_ms > SUSPECT_AFTER_OVERDUE * typical_ms:
+            median_ms = sorted(latencies_ms)[len(latencies_ms) // 2] if latencies_ms else latency_ms
+            if latency_ms > SUSPECT_AFTER_OVERDUE * median_ms:
                 return
             replica.is_suspected = False
             replica.latency_ms = latency_ms
             self._suspected.discard(replica.upstream_id)
-        replica.note_latency(latency_ms, now_ms)
+        replica.record_latency(latency_ms, now_ms)
 
-    def _looks_bad(self, replica: Replica, now_ms: float) -> bool:
+    def _should_avoid(self, replica: Replica, now_ms: float) -> bool:
         if now_ms < replica.avoid_until_ms:
             return True
-        most = DISTRUST_SHARE * len(self._replicas)
-        return replica.is_suspected and len(self._suspected) <= most
+        max_suspected = MAX_SUSPECTED_SHARE * len(self._replicas)
+        return replica.is_suspected and len(self._suspected) <= max_suspected
 
     def _has_free_cold_slot(self, replica: Replica, now_ms: float) -> bool:
         return self._dispatcher.has_free_cold_slot(replica.upstream_id, now_ms)
 
-    def _pick(self, good: list[Replica], now_ms: float) -> Replica:
-        count = len(good)
+    def _pick_of_two(self, candidates: list[Replica], now_ms: float) -> Replica:
+        count = len(candidates)
         if count == 1:
-            return good[0]
+            return candidates[0]
         first = int(self._random.random() * count)
         second = int(self._random.random() * (count - 1))
-        one, other = good[first], good[second if second < first else second + 1]
-        # Scores that differ by noise only leave the choice to chance, which spreads load.
-        return other if one.score(now_ms) > SAME_SCORE * other.score(now_ms) else one
+        one, other = candidates[first], candidates[second if second < first else second + 1]
+        # If scores differ only by noise, the choice stays random, which spreads the load.
+        return other if one.score(now_ms) > EQUAL_SCORE_RATIO * other.score(now_ms) else one
 
-    def _choose_last_resort(
+    def _choose_fallback(
         self, group: ReplicaGroup, tried: Collection[str], now_ms: float, long_running: bool
     ) -> Route | None:
-        """Use what looks bad when nothing looks good; cold upstreams through their holders."""
-        left = [replica for replica in group.replicas if replica.upstream_id not in tried]
-        left.sort(key=lambda replica: (self._is_known_cold(replica, now_ms), replica.is_suspected))
-        for replica in left:
+        """Return a route if no replica is good. Cold upstreams come last, through slot holders."""
+        untried = [replica for replica in group.replicas if replica.upstream_id not in tried]
+        untried.sort(
+            key=lambda replica: (self._is_known_cold(replica, now_ms), replica.is_suspected)
+        )
+        for replica in untried:
             route = self._route_to(replica, now_ms, long_running)
             if route is not None:
                 return route
         return None
 
-    def reaches(self, instance_id: str, now_ms: float) -> bool:
-        """Return whether work may be sent to an owner."""
+    def is_reachable(self, instance_id: str, now_ms: float) -> bool:
+        """Return whether subqueries may be sent to an owner."""
         return self._membership.is_reachable(instance_id, now_ms)
 
     def _is_known_cold(self, replica: Replica, now_ms: float) -> bool:
@@ -308,9 +316,9 @@
             if not self._view.is_usable(upstream_id):
                 continue
             data_centre = self._view.upstreams[upstream_id].data_centre
-            is_near = own_region is not None and self._region_of(data_centre) == own_region
-            place = 0 if data_centre == self._data_centre else 1 if is_near else 2
-            tiers[place].append(self._replica(upstream_id))
+            is_in_own_region = own_region is not None and self._region_of(data_centre) == own_region
+            tier_index = 0 if data_centre == self._data_centre else 1 if is_in_own_region else 2
+            tiers[tier_index].append(self._replica(upstream_id))
         return ReplicaGroup(tuple(tuple(tier) for tier in tiers))
 
     def _region_of(self, data_centre: str) -> str | None:
@@ -322,9 +330,9 @@
         if replica is None:
             owners = self._owners.owners_of(upstream_id)
             is_own = self._instance_id in owners
-            # Each coordinator prefers owners in an order of its own: the subqueries of one tick
-            # then go to half as many peers as with a random pick, and over all coordinators
-            # an upstream's owners still get equal parts.
+            # Each coordinator prefers owners in its own order. The subqueries of one tick then
+            # go to half as many peers as with a random choice, and over all coordinators the
+            # owners of an upstream still get equal shares.
             ranked = tuple(rank_by_rendezvous(self._instance_id, owners))
             replica = Replica(upstream_id, owners, ranked, is_own)
             self._replicas[upstream_id] = replica
--- a/packages/geraniumlead/src/geraniumlead/upstreams/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""Describe calls to upstreams and what comes of them."""
+"""Define calls to upstreams and their outcomes."""
 
 from geraniumlead.upstreams.answers import (
     AnswerKind,
--- a/packages/geraniumlead/src/geraniumlead/upstreams/answers.py
+++ b/packages/geraniumlead/src/geraniumlead/upstreams/answers.py
@@ -1,16 +1,16 @@
-"""Define the tagged outcomes of one call to an upstream.
+"""Define the tagged outcomes of a call to an upstream.
 
-Each says whether the upstream may have run the call: ``Shed``, ``Cold``, ``Draining``,
-``WrongVersion`` and ``NotReached`` mean that it surely did not.
+Each outcome says whether the upstream may have executed the call. ``Shed``, ``Cold``,
+``Draining``, ``WrongVersion`` and ``NotReached`` mean that it did not.
 """
 
 from msgspec import Struct
 
 
 class Records(Struct, frozen=True, array_like=True, tag=1):
-    """Carry the JSON array text of the records of one shard of one index version.
+    """The records of one shard of one index version, as the text of a JSON array.
 
-    ``cold`` is set while the upstream says that it is still cold.
+    ``cold`` is set if the upstream reports that it is still cold.
     """
 
     index_version: int
@@ -20,48 +20,48 @@
 
 
 class Shed(Struct, frozen=True, array_like=True, tag=2):
-    """The upstream refused the call for load; it did not run."""
+    """The upstream refused the call because of its load and did not execute it."""
 
     retry_after_ms: float
 
 
 class Cold(Struct, frozen=True, array_like=True, tag=3):
-    """The upstream is in cold start and refused the call; it did not run."""
+    """The upstream is cold; it refused the call and did not execute it."""
 
 
 class Draining(Struct, frozen=True, array_like=True, tag=4):
-    """The upstream is leaving and refused the call; it did not run."""
+    """The upstream is leaving; it refused the call and did not execute it."""
 
 
 class WrongVersion(Struct, frozen=True, array_like=True, tag=5):
-    """The upstream does not hold the shard of this index version; it did not run."""
+    """The upstream does not hold the shard of this index version; the call was not executed."""
 
     held_versions: tuple[int, ...]
 
 
 class NotReached(Struct, frozen=True, array_like=True, tag=6):
-    """No byte of the call left for the upstream; it did not run."""
+    """No byte of the call was sent to the upstream; the call was not executed."""
 
     detail: str
 
 
 class ConnectionLost(Struct, frozen=True, array_like=True, tag=7):
-    """The connection ended after the call may have been sent; it may have run."""
+    """The connection ended after the call may have been sent; it may have been executed."""
 
     detail: str
 
 
 class TimedOut(Struct, frozen=True, array_like=True, tag=8):
-    """No answer came in time; the call may have run.
+    """No answer arrived in time; the call may have been executed.
 
-    ``silent_connection`` is set when other connections to the upstream answered meanwhile.
+    ``silent_connection`` is set if other connections to the upstream answered in the meantime.
     """
 
     silent_connection: bool = False
 
 
 class UpstreamError(Struct, frozen=True, array_like=True, tag=9):
-    """The upstream answered with an error of its own; it may have run the call."""
+    """The upstream answered with an error of its own; it may have executed the call."""
 
     status: int
 
@@ -79,4 +79,4 @@
 )
 AnswerKind = type[UpstreamAnswer]
 
-SURELY_NOT_RUN: tuple[type, ...] = (Shed, Cold, Draining, WrongVersion, NotReached)
+NOT_EXECUTED: tuple[type, ...] = (Shed, Cold, Draining, WrongVersion, NotReached)
--- a/packages/geraniumlead/src/geraniumlead/upstreams/subquery.py
+++ b/packages/geraniumlead/src/geraniumlead/upstreams/subquery.py
@@ -1,15 +1,14 @@
-"""Define the part of a query that goes to one shard."""
-
 from msgspec import Struct
 
 
 class Subquery(Struct, frozen=True, array_like=True):
-    """Ask one shard of one index version.
+    """The part of a query that goes to one shard of one index version.
 
     ``call_id`` is unique for the instance that coordinates the query; a retry or hedge gets
-    its own. ``remaining_ms`` is the time left when the message was made: clocks of different
-    instances are never compared. ``query`` is the JSON text of the query.
-    ``fingerprint`` identifies contract, class and normalised query for crash suspicion.
+    its own. ``remaining_ms`` is the time left when the message was built, because clocks of
+    different instances are never compared. ``query`` is the JSON text of the query.
+    ``fingerprint`` identifies contract, class and normalised query, to find queries that are
+    suspected of crashing upstreams.
     """
 
     call_id: str
--- a/packages/geraniumlead/tests/core_tests/routing/test_router.py
+++ b/packages/geraniumlead/tests/core_tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""Test which replica and which owner a subquery goes to."""
+"""Test which replica and which owner the router chooses for a subquery."""
 
 from collections import Counter
 from random import Random
@@ -51,11 +51,11 @@
         self.router = Router(
             "noord-0", "noord", self.membership, self.dispatcher, self.guard, Random(1)
         )
-        self.adopt(build_view())
+        self.apply_view(build_view())
         for name in LOCAL:
             self.guard.warmth_of(name).record_reported_warm(0.0)
 
-    def adopt(self, view: ClusterView) -> None:
+    def apply_view(self, view: ClusterView) -> None:
         owners = OwnerTable(view)
         self.membership.update(view)
         self.dispatcher.update(view, owners, 1, 0.0)
@@ -66,16 +66,16 @@
 
     def send(self, now_ms: float, latencies_ms: dict[str, float]) -> str:
         route = self.router.choose(LOCAL + REMOTE, (), now_ms)
-        self.router.note_sent(route.upstream_id)
+        self.router.record_sent(route.upstream_id)
         latency_ms = latencies_ms.get(route.upstream_id, 4.0)
-        self.router.note_answer(route.upstream_id, RECORDS, latency_ms, now_ms)
+        self.router.record_answer(route.upstream_id, RECORDS, latency_ms, now_ms)
         return route.upstream_id
 
-    def test_slow_replica_is_avoided_and_used_again_when_well(self):
-        """One replica becomes ten times slower for a second, and then well again.
+    def test_slow_replica_is_avoided_and_used_again_after_recovery(self):
+        """One replica becomes ten times slower for a second and then recovers.
 
-        Sent to in turn it would set the latency of a third of all subqueries; never tried
-        again it would stay idle, and its load on the others.
+        With round-robin it would determine the latency of a third of all subqueries. If it were
+        never tried again, it would stay idle and the others would carry its load.
         """
         slow = {"ledger-1": 40.0}
         for number in range(50):
@@ -89,69 +89,69 @@
         for number in range(50):
             self.send(float(number), {})
         for _ in range(3):
-            self.router.note_overdue("ledger-2", 100.0)
+            self.router.record_overdue("ledger-2", 100.0)
         chosen = {self.send(200.0, {}) for _ in range(50)}
         self.assertNotIn("ledger-2", chosen)
-        self.assertIsNone(self.router.take_probe(LOCAL, (), 200.0))
-        probe = self.router.take_probe(LOCAL, (), 700.0)
+        self.assertIsNone(self.router.choose_probe(LOCAL, (), 200.0))
+        probe = self.router.choose_probe(LOCAL, (), 700.0)
         self.assertEqual("ledger-2", probe.upstream_id)
-        self.router.note_sent("ledger-2")
-        self.router.note_answer("ledger-2", RECORDS, 4.0, 704.0)
+        self.router.record_sent("ledger-2")
+        self.router.record_answer("ledger-2", RECORDS, 4.0, 704.0)
         self.assertIn("ledger-2", {self.send(710.0, {}) for _ in range(50)})
 
     def test_idle_suspect_is_used_while_all_others_are_busy(self):
-        """Under overload answers are late because calls wait, so a sound replica is suspected.
+        """Under overload answers are late because calls wait, so a healthy replica is suspected.
 
-        Its share of the load then waits at the others, and the shard loses that much of its
-        capacity just when all of it is needed. One call at a time goes to the suspect.
+        Its share of the load then waits at the others, and the shard loses that part of its
+        capacity when all of it is needed. One call at a time goes to the suspected replica.
         """
         for number in range(50):
             self.send(float(number), {})
         for _ in range(3):
-            self.router.note_overdue("ledger-2", 100.0)
+            self.router.record_overdue("ledger-2", 100.0)
         self.assertNotEqual("ledger-2", self.router.choose(LOCAL, (), 110.0).upstream_id)
         for name in LOCAL:
             if name != "ledger-2":
                 for _ in range(BUSY_IN_FLIGHT):
-                    self.router.note_sent(name)
+                    self.router.record_sent(name)
         self.assertEqual("ledger-2", self.router.choose(LOCAL, (), 110.0).upstream_id)
-        self.router.note_sent("ledger-2")
+        self.router.record_sent("ledger-2")
         self.assertNotEqual("ledger-2", self.router.choose(LOCAL, (), 110.0).upstream_id)
 
-    def test_view_in_which_most_look_bad_is_distrusted(self):
-        """This instance was slow itself, so that every answer seemed late."""
+    def test_suspicions_are_ignored_if_most_replicas_are_suspected(self):
+        """The instance itself was slow, so that every answer seemed late."""
         for number in range(50):
             self.send(float(number), {})
         for name in LOCAL + REMOTE:
             for _ in range(3):
-                self.router.note_overdue(name, 100.0)
+                self.router.record_overdue(name, 100.0)
         routes = [self.router.choose(LOCAL + REMOTE, (), 110.0) for _ in range(90)]
         self.assertEqual(set(LOCAL), {route.upstream_id for route in routes})
 
-    def test_loss_of_half_of_the_replicas_is_believed(self):
+    def test_suspicions_of_half_of_the_replicas_are_acted_on(self):
         """Half of all replicas are lost, and one of the others is late by chance as well.
 
-        Were the view distrusted now, half of the load would go back to the lost ones.
+        If suspicions were ignored now, half of the load would go back to the lost replicas.
         """
         for number in range(50):
             self.send(float(number), {})
         for name in ("ledger-0", "ledger-8", "ledger-9"):
             for _ in range(3):
-                self.router.note_overdue(name, 100.0)
+                self.router.record_overdue(name, 100.0)
         self.assertNotIn("ledger-0", {self.send(110.0, {}) for _ in range(60)})
 
     def test_upstreams_of_a_data_centre_that_is_out_get_nothing(self):
-        self.adopt(build_view(local_state="out"))
+        self.apply_view(build_view(local_state="out"))
         for _ in range(20):
             route = self.router.choose(LOCAL + REMOTE, (), 1.0)
             self.assertIn(route.upstream_id, REMOTE)
             self.assertIn(route.owner_id, ("zuid-0", "zuid-1"))
 
     def test_cold_upstream_elsewhere_is_reached_through_its_slot_holder(self):
-        self.adopt(build_view(local_state="out"))
+        self.apply_view(build_view(local_state="out"))
         for name in REMOTE:
-            self.router.note_sent(name)
-            self.router.note_answer(name, Cold(), 1.0, 10.0)
+            self.router.record_sent(name)
+            self.router.record_answer(name, Cold(), 1.0, 10.0)
         for _ in range(20):
             route = self.router.choose(LOCAL + REMOTE, (), 20.0)
             holder = rank_by_rendezvous(route.upstream_id, ["zuid-0", "zuid-1"])[0]
