--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/plain_variants.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/plain_variants.py
@@ -55,7 +55,7 @@
 @contextmanager
 def ignore_data_centre_state() -> Iterator[None]:
     """Send to a data centre whatever operators say."""
-    with patch.object(ClusterView, "is_data_centre_in", lambda self, name: True):
+    with patch.object(ClusterView, "is_data_centre_in_service", lambda self, name: True):
         yield
 
 
@@ -65,7 +65,7 @@
 
     def is_usable(self, upstream_id: str) -> bool:
         placed = self.upstreams.get(upstream_id)
-        return placed is not None and self.is_data_centre_in(placed.data_centre)
+        return placed is not None and self.is_data_centre_in_service(placed.data_centre)
 
     with patch.object(ClusterView, "is_usable", is_usable):
         yield
@@ -135,7 +135,7 @@
         held = self._newest.get(versioned.key)
         return held is None or versioned.revision != held.revision
 
-    with patch.object(DocumentStore, "_is_news", is_news):
+    with patch.object(DocumentStore, "_is_update", is_news):
         yield
 
 
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_spread.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_spread.py
@@ -153,7 +153,7 @@
         recorded.set_data_centre("noord", "out")
         recorded.run_for(IN_FORCE_MS)
         states = {
-            host.instance.parts.store.view.is_data_centre_in("noord")
+            host.instance.parts.store.view.is_data_centre_in_service("noord")
             for host in recorded.run.instances.values()
         }
         self.assertEqual({False}, states)
--- a/packages/geraniumlead/src/geraniumlead/configuration/cluster_view.py
+++ b/packages/geraniumlead/src/geraniumlead/configuration/cluster_view.py
@@ -1,5 +1,3 @@
-"""Give the accepted documents in the shape that decisions ask for."""
-
 from dataclasses import dataclass, field
 
 from geraniumlead.configuration.placed_upstream import PlacedUpstream
@@ -15,12 +13,13 @@
 
 @dataclass(slots=True)
 class ClusterView:
-    """Hold every accepted document, by name.
+    """The accepted documents by name, in the form that decisions need.
 
     ``indexes`` maps a service to its serving index versions, newest first.
     ``customer_of_credential`` maps the digest of a bearer token to a customer.
-    ``ambiguous_names`` are customers that share a credential and upstreams of two lists; the
-    documents are right on their own, so they are in force, and status names them.
+    ``ambiguous_names`` are customers that share a credential, and upstreams in the lists of two
+    data centres. Each of these documents is valid on its own, so they are in force, and the
+    status report lists the names.
     """
 
     contracts: dict[str, ContractDocument] = field(default_factory=dict)
@@ -46,28 +45,28 @@
             case ContractDocument():
                 self.contracts[document.customer] = document
                 for digest in document.credentials_sha256:
-                    self._tie_credential(digest, document.customer)
+                    self._map_credential(digest, document.customer)
             case DataCentreDocument():
                 self.data_centres[document.name] = document
             case UpstreamListDocument():
                 for entry in document.upstreams:
-                    self._place(PlacedUpstream(entry, document.data_centre))
+                    self._add_upstream(PlacedUpstream(entry, document.data_centre))
             case IndexDocument(state="serving"):
                 versions = self.indexes.get(document.service, ())
                 self.indexes[document.service] = (*versions, document)
             case InstanceListDocument():
                 self.instances[document.data_centre] = tuple(document.instances)
 
-    def _tie_credential(self, digest: str, customer: str) -> None:
+    def _map_credential(self, digest: str, customer: str) -> None:
         other = self.customer_of_credential.get(digest)
         if other not in (None, customer):
-            # Instances hear of the two contracts in different orders; the names are the same
-            # everywhere, so the first of them is no instance's own choice.
+            # Instances receive the two contracts in different orders. The alphabetically first
+            # name is the same on all of them.
             self.ambiguous_names |= {other, customer}
             customer = min(other, customer)
         self.customer_of_credential[digest] = customer
 
-    def _place(self, placed: PlacedUpstream) -> None:
+    def _add_upstream(self, placed: PlacedUpstream) -> None:
         upstream_id = placed.entry.upstream_id
         other = self.upstreams.get(upstream_id)
         if other is not None and other.data_centre != placed.data_centre:
@@ -75,14 +74,14 @@
             placed = min(other, placed, key=lambda item: item.data_centre)
         self.upstreams[upstream_id] = placed
 
-    def is_data_centre_in(self, name: str) -> bool:
+    def is_data_centre_in_service(self, name: str) -> bool:
         """Return whether operators let the data centre take new work."""
         document = self.data_centres.get(name)
         return document is None or document.state == "in"
 
     def is_usable(self, upstream_id: str) -> bool:
-        """Return whether an upstream may be sent new work, as far as documents tell."""
+        """Return whether the documents allow new work to be sent to an upstream."""
         placed = self.upstreams.get(upstream_id)
         if placed is None or placed.entry.state == "leaving":
             return False
-        return self.is_data_centre_in(placed.data_centre)
+        return self.is_data_centre_in_service(placed.data_centre)
--- a/packages/geraniumlead/src/geraniumlead/configuration/document_store.py
+++ b/packages/geraniumlead/src/geraniumlead/configuration/document_store.py
@@ -1,5 +1,3 @@
-"""Keep the newest accepted revision of every document."""
-
 from collections.abc import Iterable
 
 from xxhash import xxh3_64_intdigest
@@ -13,14 +11,14 @@
 
 
 class DocumentStore:
-    """Accept documents by revision, so that no source can bring an old one back.
+    """The newest accepted revision of every document; no source can bring back an old one.
 
-    A platform that restarts from an old copy, or a peer that slept, offers revisions that
-    are lower than those in force; they are dropped, so a configuration never reverts.
+    A platform that restarts from an old copy, or a peer that was paused, offers revisions that
+    are lower than those in force. They are dropped, so a configuration never reverts.
 
-    ``revision`` is complete: every change up to it was taken. ``digest`` is over the live
-    documents with their revisions, whatever their order of arrival, so two stores with equal
-    revisions and digests act on the same configuration.
+    ``revision`` is complete: every change up to it was applied. ``digest`` covers the documents
+    that are not deleted, with their revisions, and does not depend on their order of arrival.
+    Two stores with equal revisions and digests therefore act on the same configuration.
     """
 
     __slots__ = ("_documents", "_last_good", "_newest", "_refused", "digest", "revision", "view")
@@ -41,7 +39,7 @@
 
     @property
     def lacks_last_good(self) -> bool:
-        """Return whether a document was refused and none of before is in force instead."""
+        """Return whether a document was refused and no earlier one is in force instead."""
         return any(key not in self._documents for key in self._refused)
 
     def apply(
@@ -51,63 +49,63 @@
         is_snapshot: bool = False,
         above_revision: int | None = None,
     ) -> StoreChange:
-        """Take the documents that are newer than those held.
+        """Apply the documents that are newer than those held.
 
-        ``documents`` hold every change above ``above_revision`` up to ``revision``; None
-        says that they continue from what this store has. With ``is_snapshot``, keys that are
-        missing from ``documents`` were deleted.
+        ``documents`` contain every change above ``above_revision`` up to ``revision``. If
+        ``above_revision`` is None, they continue from the revision of this store. With
+        ``is_snapshot``, keys that are missing from ``documents`` were deleted.
         """
         documents = tuple(documents)
-        is_forked = is_snapshot and self._contradicts(documents, revision)
+        is_forked = is_snapshot and self._is_forked(documents, revision)
         if is_snapshot and revision >= self.revision and not is_forked:
             documents += self._find_deletions(documents, revision)
-        taken, refused, conflicts = [], [], []
+        stored, refused, conflicts = [], [], []
         for versioned in documents:
             if self._is_conflict(versioned):
                 conflicts.append(versioned.key)
-            if not self._is_news(versioned):
+            if not self._is_update(versioned):
                 if self._restore_last_good(versioned):
-                    taken.append(versioned)
+                    stored.append(versioned)
                 continue
-            taken.append(versioned)
+            stored.append(versioned)
             refusal = self._put(versioned)
             if refusal is not None:
                 refused.append(refusal)
-        # A peer's update that leaves a gap must not raise the revision: this store would
-        # claim what it lacks, and no peer would ever offer it again.
+        # A peer's update that leaves a gap must not raise the revision. This store would claim
+        # documents that it lacks, and no peer would ever offer them again.
         if is_snapshot or above_revision is None or above_revision <= self.revision:
             self.revision = max(self.revision, revision)
-        if taken:
+        if stored:
             self.view = ClusterView.from_documents(list(self._documents.values()))
-        return StoreChange(tuple(taken), tuple(refused), tuple(conflicts), is_forked)
+        return StoreChange(tuple(stored), tuple(refused), tuple(conflicts), is_forked)
 
     def revision_of(self, key: str) -> int:
-        """Return the newest revision of one document, or 0 when it was never seen."""
+        """Return the newest revision of a document, or 0 if the key is unknown."""
         held = self._newest.get(key)
         return 0 if held is None else held.revision
 
     def documents_above(self, revision: int) -> tuple[VersionedValue, ...]:
         """Return every value and deletion with a higher revision, for a peer that lags.
 
-        Where the newest value was refused, the last good one comes along.
+        For each key whose newest value was refused, the last good value is included.
         """
         newer = [held for held in self._newest.values() if held.revision > revision]
         good = [self._last_good[key] for key in self._refused if key in self._last_good]
         return (*good, *newer)
 
-    def _is_news(self, versioned: VersionedValue) -> bool:
+    def _is_update(self, versioned: VersionedValue) -> bool:
         if kind_of_key(versioned.key) is None:
             return False
         held = self._newest.get(versioned.key)
         if held is None or versioned.revision > held.revision:
             return True
-        # Two values of one revision can only come from a platform that was restored from a
-        # backup. All instances keep the greater text, whichever came first.
+        # Two values with the same revision can only come from a platform that was restored from
+        # a backup. All instances keep the greater value, in whatever order they arrive.
         return self._is_conflict(versioned) and (versioned.value or b"") > (held.value or b"")
 
     def _restore_last_good(self, versioned: VersionedValue) -> bool:
-        # An instance that started after a bad value was published would have nothing in
-        # force for the key, while its peers act on the last good one.
+        # Otherwise an instance that started after a bad value was published would have nothing
+        # in force for the key, while its peers act on the last good value.
         key = versioned.key
         if key not in self._refused or versioned.value is None:
             return False
@@ -126,9 +124,10 @@
             return False
         return held.value != versioned.value
 
-    def _contradicts(self, documents: tuple[VersionedValue, ...], revision: int) -> bool:
-        # A key that went back below the snapshot's own revision: the platform forgot what
-        # it had said. What it forgot is then missing, not deleted by an operator.
+    def _is_forked(self, documents: tuple[VersionedValue, ...], revision: int) -> bool:
+        # The snapshot includes the held revision of a key by its number, but shows an older one,
+        # so the platform has lost changes. Keys missing from the snapshot are then lost as well,
+        # not deleted by an operator.
         for versioned in documents:
             held = self._newest.get(versioned.key)
             if held is not None and versioned.revision < held.revision <= revision:
@@ -164,7 +163,7 @@
 
 
 def _digest_of(versioned: VersionedValue | None) -> int:
-    # Deletions are left out: a new instance never hears of keys deleted before its start.
+    # Deletions are left out: a new instance never learns of keys deleted before its start.
     if versioned is None or versioned.value is None:
         return 0
     prefix = f"{versioned.key}\0{versioned.revision}\0".encode()
--- a/packages/geraniumlead/src/geraniumlead/configuration/placed_upstream.py
+++ b/packages/geraniumlead/src/geraniumlead/configuration/placed_upstream.py
@@ -1,5 +1,3 @@
-"""Define an upstream together with its data centre."""
-
 from dataclasses import dataclass
 
 from geraniumlead.documents.upstream_entry import UpstreamEntry
@@ -7,7 +5,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacedUpstream:
-    """Tie an upstream's entry to the data centre whose list names it."""
+    """An upstream's entry and the data centre whose list contains it."""
 
     entry: UpstreamEntry
     data_centre: str
--- a/packages/geraniumlead/src/geraniumlead/configuration/store_change.py
+++ b/packages/geraniumlead/src/geraniumlead/configuration/store_change.py
@@ -1,5 +1,3 @@
-"""Define what came of applying documents."""
-
 from dataclasses import dataclass
 
 from geraniumlead.documents.refused_document import RefusedDocument
@@ -8,13 +6,13 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreChange:
-    """List what was taken and what was refused.
+    """The values that were stored and those of them that were refused.
 
-    ``conflicts`` are keys that came with a revision held already but another value.
-    ``is_forked`` is set for a snapshot that contradicts what the platform said before.
+    ``conflicts`` are keys that arrived with the revision already held but a different value.
+    ``is_forked`` is set for a snapshot that contradicts earlier revisions of the platform.
     """
 
-    taken: tuple[VersionedValue, ...]
+    stored: tuple[VersionedValue, ...]
     refused: tuple[RefusedDocument, ...]
     conflicts: tuple[str, ...] = ()
     is_forked: bool = False
--- a/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
@@ -1,7 +1,7 @@
 """Take documents from the platform and from peers."""
 
 from geraniumlead.actions import ReadPlatform, Report
-from geraniumlead.configuration import DivergenceWatch, QuestionGate, StoreChange
+from geraniumlead.configuration import DivergenceDetector, DocumentRequestLimiter, StoreChange
 from geraniumlead.documents import DocumentKind, document_key
 from geraniumlead.events import DocumentsReceived, PlatformSilent
 from geraniumlead.instance.call_handler import CallHandler
@@ -46,9 +46,9 @@
     def __init__(self, parts: InstanceParts, calls: CallHandler) -> None:
         self._parts = parts
         self._calls = calls
-        self._divergence = DivergenceWatch()
+        self._divergence = DivergenceDetector()
         self._owners = OwnerTable(parts.store.view)
-        self._questions = QuestionGate()
+        self._questions = DocumentRequestLimiter()
         self._reread_ms = float("-inf")
         self.contact = PlatformContact(parts.random)
         self.watching = False
@@ -77,8 +77,8 @@
             event.documents, event.revision, event.is_snapshot, event.above_revision
         )
         self._bring_into_force(change, now_ms)
-        if change.taken:
-            self._spread(DocumentsUpdate(store.revision, change.taken, held_revision))
+        if change.stored:
+            self._spread(DocumentsUpdate(store.revision, change.stored, held_revision))
         if event.revision < store.revision:
             # An old copy of the platform: it is no sign that nothing newer was published.
             self._note_behind(event.revision, now_ms)
@@ -102,9 +102,9 @@
         self._bring_into_force(change, now_ms)
         if message.revision > parts.store.revision:
             self.ask(sender_id, message.revision, now_ms)
-        if not change.taken:
+        if not change.stored:
             return
-        update = DocumentsUpdate(parts.store.revision, change.taken, held_revision)
+        update = DocumentsUpdate(parts.store.revision, change.stored, held_revision)
         sender = parts.membership.peers.get(sender_id)
         is_remote = sender is not None and sender.data_centre != parts.settings.data_centre
         # What another data centre told reaches the own one by this instance alone, and what
@@ -114,7 +114,7 @@
 
     def ask(self, peer_id: str, revision: int, now_ms: float) -> None:
         """Ask a peer for the documents up to its revision, unless that was asked just now."""
-        if self._questions.may_ask(self._parts.store.revision, revision, now_ms):
+        if self._questions.may_request(self._parts.store.revision, revision, now_ms):
             self._parts.send(peer_id, DocumentsWanted(self._parts.store.revision))
 
     def give_documents(self, sender_id: str, message: DocumentsWanted) -> None:
@@ -149,7 +149,7 @@
             self.contact.note_relayed(heartbeat.platform_age_ms, now_ms)
         if heartbeat.revision != store.revision:
             return
-        if self._divergence.must_ask(store.digest, heartbeat.digest, now_ms):
+        if self._divergence.should_request_all(store.digest, heartbeat.digest, now_ms):
             fields = {"peer": sender_id, "revision": store.revision}
             parts.actions.append(Report("configuration_diverged", fields, "error"))
             parts.send(sender_id, DocumentsWanted(EVERYTHING))
@@ -185,9 +185,9 @@
             parts.actions.append(Report("document_conflict", {"key": key}, "error"))
         if change.is_forked:
             parts.actions.append(Report("platform_history_forked", {}, "error"))
-        if change.taken:
+        if change.stored:
             self._adopt_view(now_ms)
-            fields = {"revision": parts.store.revision, "documents": len(change.taken)}
+            fields = {"revision": parts.store.revision, "documents": len(change.stored)}
             parts.actions.append(Report("configuration_in_force", fields))
 
     def _adopt_view(self, now_ms: float) -> None:
--- a/packages/geraniumlead/src/geraniumlead/instance/parts.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/parts.py
@@ -77,7 +77,7 @@
     @property
     def is_ready(self) -> bool:
         """Return what the balancer is told."""
-        in_service = self.store.view.is_data_centre_in(self.settings.data_centre)
+        in_service = self.store.view.is_data_centre_in_service(self.settings.data_centre)
         can_serve = self.lifecycle.is_serving and self.cold_start.can_serve
         return can_serve and in_service and not self.membership.is_leaving
 
--- a/packages/geraniumlead/tests/core_tests/configuration/test_cluster_view.py
+++ b/packages/geraniumlead/tests/core_tests/configuration/test_cluster_view.py
@@ -1,4 +1,4 @@
-"""Test that a view follows from the documents and not from the order of their arrival."""
+"""Test that a view depends on the documents and not on the order of their arrival."""
 
 from itertools import permutations
 from unittest import TestCase
@@ -12,8 +12,8 @@
     def test_a_shared_credential_means_one_customer_everywhere(self):
         """Two operators publish contracts with the same credential at the same time.
 
-        Instances hear of them in different orders. Without a tie-break a caller would be
-        tied to one customer here and to the other there, and be limited by chance.
+        Instances receive them in different orders. Without a tie-break, instances would assign
+        a caller to different customers, and its limits would depend on the instance.
         """
         contracts = [build_contract(customer=name) for name in ("beta", "acme", "zeta")]
         views = [ClusterView.from_documents(list(order)) for order in permutations(contracts)]
@@ -21,11 +21,11 @@
         self.assertEqual(found, {("acme",)})
         self.assertEqual(views[0].ambiguous_names, {"acme", "beta", "zeta"})
 
-    def test_an_upstream_of_two_lists_is_in_one_data_centre_everywhere(self):
-        """An upstream is moved, and both lists name it for a while.
+    def test_an_upstream_in_two_lists_is_in_one_data_centre_everywhere(self):
+        """An upstream is moved, and for a while both lists contain it.
 
-        Its owners follow from its data centre, so instances that disagree about it would
-        together exceed its connections and its cold allowance.
+        Its owners depend on its data centre, so instances that disagree about it would together
+        exceed its connections and its cold allowance.
         """
         lists = [
             UpstreamListDocument(data_centre=name, upstreams=[build_upstream(1)])
@@ -36,5 +36,5 @@
         self.assertEqual(found, {"noord"})
         self.assertEqual(views[0].ambiguous_names, {"ledger-1"})
 
-    def test_nothing_is_ambiguous_in_good_documents(self):
+    def test_valid_documents_have_no_ambiguous_names(self):
         self.assertEqual(ClusterView.from_documents([build_contract()]).ambiguous_names, set())
--- a/packages/geraniumlead/tests/core_tests/configuration/test_document_store.py
+++ b/packages/geraniumlead/tests/core_tests/configuration/test_document_store.py
@@ -1,4 +1,4 @@
-"""Test which documents a store takes, and which revision it claims."""
+"""Test which documents a store accepts, and which revision it reports."""
 
 from itertools import permutations
 from unittest import TestCase
@@ -13,7 +13,7 @@
 
 
 def build_value(key: str, revision: int, rate_per_s: float = 1.0) -> VersionedValue:
-    """Return a contract at a revision."""
+    """Return an encoded contract at a revision."""
     customer = key.rsplit("/", 1)[1]
     contract = build_contract(customer=customer, rate_per_s=rate_per_s)
     return VersionedValue(key, revision, encode(contract))
@@ -21,9 +21,9 @@
 
 class DocumentStoreTests(TestCase):
     def test_an_update_with_a_gap_does_not_raise_the_revision(self):
-        """A peer's update of revision 9 was lost and that of 10 arrives.
+        """A peer's update of revision 9 is lost and the one of revision 10 arrives.
 
-        A store that claimed 10 would never ask for 9: no peer's revision is higher.
+        A store that reported 10 would never request 9, because no peer's revision is higher.
         """
         store = DocumentStore()
         store.apply([build_value(KEYS[0], 8)], 8, is_snapshot=True)
@@ -38,7 +38,7 @@
         store = DocumentStore()
         store.apply([build_value(KEYS[0], 3), build_value(KEYS[1], 7)], 7, is_snapshot=True)
         change = store.apply([build_value(KEYS[0], 2)], 2, is_snapshot=True)
-        self.assertEqual(((), 7), (change.taken, store.revision))
+        self.assertEqual(((), 7), (change.stored, store.revision))
         self.assertEqual({"acme", "brook"}, set(store.view.contracts))
 
     def test_a_key_that_a_newer_snapshot_lacks_was_deleted(self):
@@ -49,11 +49,11 @@
         store.apply([build_value(KEYS[1], 7)], 7)
         self.assertEqual({"acme"}, set(store.view.contracts))
 
-    def test_a_platform_that_forgot_what_it_said_deletes_nothing(self):
+    def test_a_platform_that_lost_changes_deletes_nothing(self):
         """A backup of revision 5 was restored and has reached revision 9 with other changes.
 
-        Its snapshot shows an old revision of one key and lacks another: neither is an
-        operator's doing, so what was accepted stays in force.
+        Its snapshot shows an old revision of one key and lacks another. No operator made these
+        changes, so the accepted documents stay in force.
         """
         store = DocumentStore()
         store.apply([build_value(KEYS[0], 7, 7.0), build_value(KEYS[1], 8)], 8, is_snapshot=True)
@@ -62,7 +62,7 @@
         self.assertEqual({"acme", "brook"}, set(store.view.contracts))
         self.assertEqual(7.0, store.view.contracts["acme"].rate_per_s)
 
-    def test_a_reused_revision_is_decided_the_same_in_any_order(self):
+    def test_a_reused_revision_has_the_same_result_in_any_order(self):
         values = [build_value(KEYS[0], 4, rate) for rate in (1.0, 2.0, 3.0)]
         kept, digests = set(), set()
         for order in permutations(values):
@@ -73,7 +73,7 @@
             digests.add(store.digest)
         self.assertEqual((1, 1), (len(kept), len(digests)))
 
-    def test_the_digest_tells_contents_apart_and_ignores_order_and_deletions(self):
+    def test_the_digest_depends_on_contents_but_not_on_order_or_deletions(self):
         one, other = DocumentStore(), DocumentStore()
         one.apply([build_value(KEYS[0], 3), build_value(KEYS[1], 4)], 4)
         other.apply([build_value(KEYS[1], 4)], 4)
@@ -83,19 +83,19 @@
         )
         self.assertEqual(one.digest, other.digest)
 
-    def test_a_newcomer_takes_the_last_good_value_from_a_peer(self):
-        """A malformed contract is published; an instance is replaced afterwards.
+    def test_a_new_instance_gets_the_last_good_value_from_a_peer(self):
+        """A malformed contract is published, and an instance is replaced afterwards.
 
-        The platform shows the newcomer only the malformed value. Without the peer's copy of
-        the one before, it alone would refuse the customer's requests.
+        The platform sends the new instance only the malformed value. Without the peer's copy of
+        the previous value, it alone would refuse the customer's requests.
         """
         bad = VersionedValue(KEYS[0], 5, b"{")
-        peer, newcomer = DocumentStore(), DocumentStore()
+        peer, new_instance = DocumentStore(), DocumentStore()
         peer.apply([build_value(KEYS[0], 4, 4.0)], 4, is_snapshot=True)
         peer.apply([bad], 5)
-        newcomer.apply([bad], 5, is_snapshot=True)
-        self.assertTrue(newcomer.lacks_last_good)
-        newcomer.apply(peer.documents_above(5), 5, above_revision=5)
-        self.assertEqual(4.0, newcomer.view.contracts["acme"].rate_per_s)
-        self.assertEqual(1, len(newcomer.refused))
-        self.assertEqual(peer.digest, newcomer.digest)
+        new_instance.apply([bad], 5, is_snapshot=True)
+        self.assertTrue(new_instance.lacks_last_good)
+        new_instance.apply(peer.documents_above(5), 5, above_revision=5)
+        self.assertEqual(4.0, new_instance.view.contracts["acme"].rate_per_s)
+        self.assertEqual(1, len(new_instance.refused))
+        self.assertEqual(peer.digest, new_instance.digest)
