--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_daemon.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_daemon.py
@@ -86,7 +86,7 @@
         """Serve, and return after a graceful stop."""
         self._loop = asyncio.get_running_loop()
         forwarder = Forwarder(
-            self._settings.to_forwarding(), self._random, self._loop.time() * 1000.0
+            self._settings.to_forwarding_settings(), self._random, self._loop.time() * 1000.0
         )
         self._driver = ForwardingDriver(forwarder, self._carry_out)
         self._attempts = AttemptClient(self._driver.handle)
@@ -257,7 +257,7 @@
         if is_first and found == self._settings:
             return
         self._settings = found
-        self._driver.forwarder.apply_settings(found.to_forwarding())
+        self._driver.forwarder.apply_settings(found.to_forwarding_settings())
         logger.info("settings_reloaded")
 
     def _carry_out(self, action: ForwardingAction) -> None:
--- a/packages/geraniumlead/src/geraniumlead/checks/addresses.py
+++ b/packages/geraniumlead/src/geraniumlead/checks/addresses.py
@@ -1,17 +1,17 @@
-"""Look at ``IP:port`` addresses."""
+"""Validate ``IP:port`` addresses."""
 
 from ipaddress import ip_address
 
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 def has_valid_port(address: str) -> bool:
-    """Return whether the port can be reached."""
-    return 1 <= int(address.rpartition(":")[2]) <= MOST_PORT
+    """Return whether the port is between 1 and 65535."""
+    return 1 <= int(address.rpartition(":")[2]) <= MAX_PORT
 
 
 def has_valid_ip(address: str) -> bool:
-    """Return whether the part before the port is an IP number."""
+    """Return whether the part before the port is an IP address."""
     try:
         ip_address(address.rpartition(":")[0].strip("[]"))
     except ValueError:
--- a/packages/geraniumlead/src/geraniumlead/checks/check_document.py
+++ b/packages/geraniumlead/src/geraniumlead/checks/check_document.py
@@ -1,4 +1,4 @@
-"""Check one decoded document or settings file."""
+"""Check a single decoded document or settings file."""
 
 import geraniumlead.checks.contract_checks
 import geraniumlead.checks.index_checks
@@ -10,11 +10,11 @@
 
 
 def check_document(document: object) -> list[CheckMessage]:
-    """Return what is wrong with a document on its own; a pure function of it."""
+    """Return the findings in a single document, which depend on this document alone."""
     return document_checks.run(document)
 
 
 def find_refusal(document: object) -> str | None:
-    """Return why a document has to be refused whole, or None."""
+    """Return why the whole document has to be refused, or None."""
     errors = [item for item in check_document(document) if item.level is Level.ERROR]
     return "; ".join(item.to_text() for item in errors) or None
--- a/packages/geraniumlead/src/geraniumlead/checks/contract_checks.py
+++ b/packages/geraniumlead/src/geraniumlead/checks/contract_checks.py
@@ -1,11 +1,11 @@
-"""Check a contract on its own."""
+"""Check a single contract."""
 
 from collections.abc import Iterator
 from datetime import datetime
 
+from geraniumlead.checks.duplicates import find_duplicates
 from geraniumlead.checks.message import CheckMessage, Level
 from geraniumlead.checks.registry import document_checks
-from geraniumlead.checks.repeated import find_repeated
 from geraniumlead.documents.contract import ContractDocument
 
 MILLISECONDS_PER_S = 1000.0
@@ -13,8 +13,8 @@
 
 @document_checks.register(ContractDocument)
 def check_class_names(contract: ContractDocument) -> Iterator[CheckMessage]:
-    """Find classes of one name, of which only the first would be found."""
-    for position, name in find_repeated(item.name for item in contract.classes):
+    """Find classes with the same name, of which only the first would be used."""
+    for position, name in find_duplicates(item.name for item in contract.classes):
         yield CheckMessage(
             id="GL-C001",
             path=f"$.classes[{position}].name",
@@ -26,7 +26,7 @@
 @document_checks.register(ContractDocument)
 def check_credentials(contract: ContractDocument) -> Iterator[CheckMessage]:
     """Find credentials that are listed twice."""
-    for position, _ in find_repeated(contract.credentials_sha256):
+    for position, _ in find_duplicates(contract.credentials_sha256):
         yield CheckMessage(
             id="GL-C002",
             path=f"$.credentials_sha256[{position}]",
@@ -37,7 +37,7 @@
 
 @document_checks.register(ContractDocument)
 def check_dates(contract: ContractDocument) -> Iterator[CheckMessage]:
-    """Find dates that are no instants, and an end that comes before the start."""
+    """Find invalid timestamps, and an end that is not after the start."""
     instants = {}
     for name in ("valid_from", "valid_until"):
         text = getattr(contract, name)
@@ -63,7 +63,7 @@
 
 @document_checks.register(ContractDocument)
 def check_coverage(contract: ContractDocument) -> Iterator[CheckMessage]:
-    """Find classes whose coverage contradicts what they do."""
+    """Find classes whose least coverage contradicts their other fields."""
     for position, item in enumerate(contract.classes):
         if not item.idempotent and item.least_coverage < 1:
             yield CheckMessage(
@@ -84,15 +84,15 @@
 
 @document_checks.register(ContractDocument)
 def check_limits(contract: ContractDocument) -> Iterator[CheckMessage]:
-    """Find a bound on concurrency that the rate never lets the customer reach."""
-    longest_s = max(item.deadline_ms for item in contract.classes) / MILLISECONDS_PER_S
-    reachable = contract.burst_requests + contract.rate_per_s * longest_s
-    if contract.concurrent_requests > reachable:
+    """Find a concurrency limit that the customer's rate and burst can never reach."""
+    max_deadline_s = max(item.deadline_ms for item in contract.classes) / MILLISECONDS_PER_S
+    max_open_requests = contract.burst_requests + contract.rate_per_s * max_deadline_s
+    if contract.concurrent_requests > max_open_requests:
         yield CheckMessage(
             id="GL-C007",
             path="$.concurrent_requests",
             text=(
-                f"rate, burst and the longest deadline never let more than {reachable:.0f} "
+                f"rate, burst and the longest deadline never let more than {max_open_requests:.0f} "
                 "requests be open"
             ),
             hint="lower concurrent_requests, or raise rate_per_s or burst_requests",
@@ -101,7 +101,7 @@
 
 
 def parse_instant(text: str) -> datetime | None:
-    """Return an RFC 3339 instant, or None for any other text."""
+    """Return an RFC 3339 timestamp with an offset, or None for any other text."""
     try:
         instant = datetime.fromisoformat(text)
     except ValueError:
--- a/packages/geraniumlead/src/geraniumlead/checks/document_set.py
+++ b/packages/geraniumlead/src/geraniumlead/checks/document_set.py
@@ -1,11 +1,9 @@
-"""Define documents that are checked together."""
-
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class NamedDocument:
-    """Tie a decoded document to the file, or file and key, that it came from."""
+    """A decoded document and the name of the file, or file and key, that it came from."""
 
     name: str
     document: object
@@ -13,10 +11,10 @@
 
 @dataclass(slots=True, frozen=True)
 class DocumentSet:
-    """Hold decoded documents."""
+    """Decoded documents that are checked together."""
 
     documents: tuple[NamedDocument, ...]
 
-    def of_type(self, kind: type) -> list[NamedDocument]:
+    def of_type(self, document_type: type) -> list[NamedDocument]:
         """Return the documents of one type."""
-        return [item for item in self.documents if isinstance(item.document, kind)]
+        return [item for item in self.documents if isinstance(item.document, document_type)]
--- a/packages/geraniumlead/src/geraniumlead/checks/repeated.py
+++ b/packages/geraniumlead/src/geraniumlead/checks/duplicates.py
@@ -1,10 +1,8 @@
-"""Find what stands twice."""
-
 from collections.abc import Iterable
 
 
-def find_repeated(values: Iterable) -> list[tuple[int, object]]:
-    """Return position and value of everything that occurred before."""
+def find_duplicates(values: Iterable) -> list[tuple[int, object]]:
+    """Return position and value of each item that equals an earlier one."""
     seen = set()
     repeated = []
     for position, value in enumerate(values):
--- a/packages/geraniumlead/src/geraniumlead/checks/index_checks.py
+++ b/packages/geraniumlead/src/geraniumlead/checks/index_checks.py
@@ -1,18 +1,18 @@
-"""Check an index version on its own."""
+"""Check a single index version."""
 
 from collections.abc import Iterator
 
+from geraniumlead.checks.duplicates import find_duplicates
 from geraniumlead.checks.message import CheckMessage
 from geraniumlead.checks.registry import document_checks
-from geraniumlead.checks.repeated import find_repeated
 from geraniumlead.documents.index import IndexDocument
 
 
 @document_checks.register(IndexDocument)
 def check_shard_numbers(index: IndexDocument) -> Iterator[CheckMessage]:
-    """Find gaps and repeats: a key's shard is its hash modulo the number of shards."""
+    """Find gaps and duplicates: a key's shard is its hash modulo the number of shards."""
     numbers = [entry.shard for entry in index.shards]
-    for position, number in find_repeated(numbers):
+    for position, number in find_duplicates(numbers):
         yield CheckMessage(
             id="GL-I001",
             path=f"$.shards[{position}].shard",
@@ -31,12 +31,12 @@
 
 @document_checks.register(IndexDocument)
 def check_replicas(index: IndexDocument) -> Iterator[CheckMessage]:
-    """Find a replica that a shard names twice, which would get twice the share."""
-    for position, entry in enumerate(index.shards):
-        for place, name in find_repeated(entry.replicas):
+    """Find a replica that a shard names twice, which would get twice the share of calls."""
+    for shard_index, entry in enumerate(index.shards):
+        for replica_index, name in find_duplicates(entry.replicas):
             yield CheckMessage(
                 id="GL-I003",
-                path=f"$.shards[{position}].replicas[{place}]",
+                path=f"$.shards[{shard_index}].replicas[{replica_index}]",
                 text=f"the replica {name!r} stands twice",
                 hint="name each replica once",
             )
--- a/packages/geraniumlead/src/geraniumlead/checks/instance_list_checks.py
+++ b/packages/geraniumlead/src/geraniumlead/checks/instance_list_checks.py
@@ -1,17 +1,17 @@
-"""Check a data centre's list of instances on its own."""
+"""Check a single data centre's list of instances."""
 
 from collections.abc import Iterator
 
+from geraniumlead.checks.duplicates import find_duplicates
 from geraniumlead.checks.message import CheckMessage, Level
 from geraniumlead.checks.registry import document_checks
-from geraniumlead.checks.repeated import find_repeated
 from geraniumlead.documents.instance_list import InstanceListDocument
 
 
 @document_checks.register(InstanceListDocument)
-def check_instance_ids(found: InstanceListDocument) -> Iterator[CheckMessage]:
-    """Find instances of one name, which would own the same upstreams."""
-    for position, name in find_repeated(entry.instance_id for entry in found.instances):
+def check_instance_ids(document: InstanceListDocument) -> Iterator[CheckMessage]:
+    """Find instances with the same id, which would own the same upstreams."""
+    for position, name in find_duplicates(entry.instance_id for entry in document.instances):
         yield CheckMessage(
             id="GL-N001",
             path=f"$.instances[{position}].instance_id",
@@ -21,9 +21,9 @@
 
 
 @document_checks.register(InstanceListDocument)
-def check_peer_addresses(found: InstanceListDocument) -> Iterator[CheckMessage]:
-    """Find two instances behind one address."""
-    for position, address in find_repeated(entry.peer_address for entry in found.instances):
+def check_peer_addresses(document: InstanceListDocument) -> Iterator[CheckMessage]:
+    """Find two instances with the same peer address."""
+    for position, address in find_duplicates(entry.peer_address for entry in document.instances):
         yield CheckMessage(
             id="GL-N002",
             path=f"$.instances[{position}].peer_address",
--- a/packages/geraniumlead/src/geraniumlead/checks/message.py
+++ b/packages/geraniumlead/src/geraniumlead/checks/message.py
@@ -1,19 +1,17 @@
-"""Define what a check found."""
-
 from enum import StrEnum
 
 from msgspec import Struct
 
 
 class Level(StrEnum):
-    """Tell what refuses a document from what only deserves a look."""
+    """The level of a finding: an error refuses the document, a warning does not."""
 
     ERROR = "error"
     WARNING = "warning"
 
 
 class CheckMessage(Struct, frozen=True, kw_only=True):
-    """Name one finding; ``path`` leads to it inside its document, ``$`` is the whole."""
+    """A finding; ``path`` is its JSON path in the document, ``$`` for the whole document."""
 
     id: str
     path: str
@@ -22,6 +20,6 @@
     level: Level = Level.ERROR
 
     def to_text(self) -> str:
-        """Return the finding on one line."""
+        """Return the finding as one line of text."""
         line = f"{self.id} {self.path}: {self.text}"
         return f"{line} ({self.hint})" if self.hint else line
--- a/packages/geraniumlead/src/geraniumlead/checks/registry.py
+++ b/packages/geraniumlead/src/geraniumlead/checks/registry.py
@@ -1,5 +1,3 @@
-"""Keep the checks of each kind of document."""
-
 from collections.abc import Callable, Iterator
 
 from geraniumlead.checks.message import CheckMessage
@@ -8,7 +6,7 @@
 
 
 class CheckRegistry:
-    """Hold checks by the type that they look at."""
+    """The checks of each type of document."""
 
     __slots__ = ("_checks",)
 
@@ -16,7 +14,7 @@
         self._checks: dict[type, list[Check]] = {}
 
     def register(self, subject: type) -> Callable[[Check], Check]:
-        """Return a decorator that adds a check for a type."""
+        """Return a decorator that registers a check for a type."""
 
         def add(check: Check) -> Check:
             self._checks.setdefault(subject, []).append(check)
@@ -25,13 +23,13 @@
         return add
 
     def run(self, subject: object) -> list[CheckMessage]:
-        """Return what all checks of the subject's type find."""
+        """Return the findings of all checks that are registered for the subject's type."""
         checks = self._checks.get(type(subject), ())
         return [message for check in checks for message in check(subject)]
 
 
 document_checks = CheckRegistry()
-"""Checks of one document alone."""
+"""Checks of a single document."""
 
 set_checks = CheckRegistry()
 """Checks of documents together."""
--- a/packages/geraniumlead/src/geraniumlead/checks/set_checks.py
+++ b/packages/geraniumlead/src/geraniumlead/checks/set_checks.py
@@ -14,32 +14,34 @@
 
 
 @set_checks.register(DocumentSet)
-def check_one_document_a_key(found: DocumentSet) -> Iterator[tuple[NamedDocument, CheckMessage]]:
-    """Find two contracts for one customer, or two documents of any one name."""
-    seen: dict[str, str] = {}
-    for item in found.documents:
+def check_unique_keys(document_set: DocumentSet) -> Iterator[tuple[NamedDocument, CheckMessage]]:
+    """Find two contracts for one customer, or two documents with the same key."""
+    name_of_key: dict[str, str] = {}
+    for item in document_set.documents:
         key = key_of_document(item.document)
-        if key in seen:
-            what = "two contracts for one customer" if "/contracts/" in key else "two documents"
+        if key in name_of_key:
+            conflict = "two contracts for one customer" if "/contracts/" in key else "two documents"
             yield (
                 item,
                 CheckMessage(
                     id="GL-X001",
                     path="$",
-                    text=f"{what}: {key} stands in {seen[key]} too",
+                    text=f"{conflict}: {key} stands in {name_of_key[key]} too",
                     hint="one customer has one contract; one key has one document",
                 ),
             )
-        seen.setdefault(key, item.name)
+        name_of_key.setdefault(key, item.name)
 
 
 @set_checks.register(DocumentSet)
-def check_shared_credentials(found: DocumentSet) -> Iterator[tuple[NamedDocument, CheckMessage]]:
-    """Find a credential of two contracts: its caller could not be tied to one."""
-    owner: dict[str, str] = {}
-    for item in found.of_type(ContractDocument):
+def check_shared_credentials(
+    document_set: DocumentSet,
+) -> Iterator[tuple[NamedDocument, CheckMessage]]:
+    """Find a credential of two contracts, which does not identify one customer."""
+    customer_of_digest: dict[str, str] = {}
+    for item in document_set.of_type(ContractDocument):
         for position, digest in enumerate(item.document.credentials_sha256):
-            other = owner.setdefault(digest, item.document.customer)
+            other = customer_of_digest.setdefault(digest, item.document.customer)
             if other != item.document.customer:
                 yield (
                     item,
@@ -47,23 +49,23 @@
                         id="GL-X002",
                         path=f"$.credentials_sha256[{position}]",
                         text=f"the credential is that of {other!r} too",
-                        hint="make a new token for one of them",
+                        hint="issue a new token for one of them",
                     ),
                 )
 
 
 @set_checks.register(DocumentSet)
-def check_shared_ids(found: DocumentSet) -> Iterator[tuple[NamedDocument, CheckMessage]]:
-    """Find upstreams and instances of one name in two data centres."""
+def check_shared_ids(document_set: DocumentSet) -> Iterator[tuple[NamedDocument, CheckMessage]]:
+    """Find upstreams and instances with the same id in two data centres."""
     for kind, entries_name, id_name, check_id in (
         (UpstreamListDocument, "upstreams", "upstream_id", "GL-X003"),
         (InstanceListDocument, "instances", "instance_id", "GL-X004"),
     ):
-        home: dict[str, str] = {}
-        for item in found.of_type(kind):
+        data_centre_of_id: dict[str, str] = {}
+        for item in document_set.of_type(kind):
             for position, entry in enumerate(getattr(item.document, entries_name)):
                 name = getattr(entry, id_name)
-                other = home.setdefault(name, item.document.data_centre)
+                other = data_centre_of_id.setdefault(name, item.document.data_centre)
                 if other != item.document.data_centre:
                     yield (
                         item,
@@ -76,18 +78,20 @@
 
 
 @set_checks.register(DocumentSet)
-def check_replicas_are_listed(found: DocumentSet) -> Iterator[tuple[NamedDocument, CheckMessage]]:
+def check_replicas_are_listed(
+    document_set: DocumentSet,
+) -> Iterator[tuple[NamedDocument, CheckMessage]]:
     """Find replicas that no list names, or that serve another service."""
-    lists = found.of_type(UpstreamListDocument)
+    lists = document_set.of_type(UpstreamListDocument)
     if not lists:
         return
     services = {
         entry.upstream_id: entry.service for item in lists for entry in item.document.upstreams
     }
-    for item in found.of_type(IndexDocument):
-        for position, shard in enumerate(item.document.shards):
-            for place, name in enumerate(shard.replicas):
-                path = f"$.shards[{position}].replicas[{place}]"
+    for item in document_set.of_type(IndexDocument):
+        for shard_index, shard in enumerate(item.document.shards):
+            for replica_index, name in enumerate(shard.replicas):
+                path = f"$.shards[{shard_index}].replicas[{replica_index}]"
                 service = services.get(name)
                 if service is None:
                     text = f"no list of upstreams names {name!r}"
@@ -99,14 +103,14 @@
 
 @set_checks.register(DocumentSet)
 def check_services_have_indexes(
-    found: DocumentSet,
+    document_set: DocumentSet,
 ) -> Iterator[tuple[NamedDocument, CheckMessage]]:
-    """Find classes of a service without an index to answer from."""
-    indexes = found.of_type(IndexDocument)
+    """Find traffic classes of a service that has no serving index."""
+    indexes = document_set.of_type(IndexDocument)
     if not indexes:
         return
     services = {item.document.service for item in indexes if item.document.state == "serving"}
-    for item in found.of_type(ContractDocument):
+    for item in document_set.of_type(ContractDocument):
         for position, traffic_class in enumerate(item.document.classes):
             if traffic_class.service not in services:
                 yield (
@@ -120,13 +124,15 @@
 
 
 @set_checks.register(DocumentSet)
-def check_data_centres_exist(found: DocumentSet) -> Iterator[tuple[NamedDocument, CheckMessage]]:
+def check_data_centres_exist(
+    document_set: DocumentSet,
+) -> Iterator[tuple[NamedDocument, CheckMessage]]:
     """Find lists of a data centre that no document describes."""
-    known = {item.document.name for item in found.of_type(DataCentreDocument)}
+    known = {item.document.name for item in document_set.of_type(DataCentreDocument)}
     if not known:
         return
     for kind in (UpstreamListDocument, InstanceListDocument):
-        for item in found.of_type(kind):
+        for item in document_set.of_type(kind):
             if item.document.data_centre not in known:
                 yield (
                     item,
--- a/packages/geraniumlead/src/geraniumlead/checks/settings_checks.py
+++ b/packages/geraniumlead/src/geraniumlead/checks/settings_checks.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterator
 
 from geraniumlead.checks.addresses import has_valid_ip, has_valid_port
+from geraniumlead.checks.duplicates import find_duplicates
 from geraniumlead.checks.message import CheckMessage
 from geraniumlead.checks.registry import document_checks
-from geraniumlead.checks.repeated import find_repeated
 from geraniumlead.settings.instance_settings import InstanceSettings
 
 LOG_LEVELS = ("debug", "info", "warning", "error")
@@ -20,7 +20,7 @@
         "$.listen.operators": listen.operators,
         "$.listen.peers": listen.peers,
     }
-    for position, _ in find_repeated(addresses.values()):
+    for position, _ in find_duplicates(addresses.values()):
         yield CheckMessage(
             id="GL-P001",
             path=list(addresses)[position],
@@ -70,7 +70,7 @@
 
 @document_checks.register(InstanceSettings)
 def check_keys(settings: InstanceSettings) -> Iterator[CheckMessage]:
-    """Find half a key pair, which would run peers without authentication."""
+    """Find an incomplete key pair, which would run peers without authentication."""
     if bool(settings.peer_public_key) != bool(settings.peer_secret_key):
         yield CheckMessage(
             id="GL-P006",
--- a/packages/geraniumlead/src/geraniumlead/checks/upstream_list_checks.py
+++ b/packages/geraniumlead/src/geraniumlead/checks/upstream_list_checks.py
@@ -1,18 +1,18 @@
-"""Check a data centre's list of upstreams on its own."""
+"""Check a single data centre's list of upstreams."""
 
 from collections.abc import Iterator
 
 from geraniumlead.checks.addresses import has_valid_port
+from geraniumlead.checks.duplicates import find_duplicates
 from geraniumlead.checks.message import CheckMessage, Level
 from geraniumlead.checks.registry import document_checks
-from geraniumlead.checks.repeated import find_repeated
 from geraniumlead.documents.upstream_list import UpstreamListDocument
 
 
 @document_checks.register(UpstreamListDocument)
-def check_upstream_ids(found: UpstreamListDocument) -> Iterator[CheckMessage]:
-    """Find upstreams of one name, whose limits would be mixed up."""
-    for position, name in find_repeated(entry.upstream_id for entry in found.upstreams):
+def check_upstream_ids(document: UpstreamListDocument) -> Iterator[CheckMessage]:
+    """Find upstreams with the same id, whose limits would be mixed up."""
+    for position, name in find_duplicates(entry.upstream_id for entry in document.upstreams):
         yield CheckMessage(
             id="GL-U001",
             path=f"$.upstreams[{position}].upstream_id",
@@ -22,16 +22,16 @@
 
 
 @document_checks.register(UpstreamListDocument)
-def check_upstream_addresses(found: UpstreamListDocument) -> Iterator[CheckMessage]:
-    """Find two upstreams behind one address, and addresses without a usable port."""
-    for position, address in find_repeated(entry.address for entry in found.upstreams):
+def check_upstream_addresses(document: UpstreamListDocument) -> Iterator[CheckMessage]:
+    """Find two upstreams with the same address, and addresses without a valid port."""
+    for position, address in find_duplicates(entry.address for entry in document.upstreams):
         yield CheckMessage(
             id="GL-U002",
             path=f"$.upstreams[{position}].address",
             text=f"the address {address} stands twice",
             hint="one address is one server: its slots would be counted twice",
         )
-    for position, entry in enumerate(found.upstreams):
+    for position, entry in enumerate(document.upstreams):
         if not has_valid_port(entry.address):
             yield CheckMessage(
                 id="GL-U003",
@@ -41,9 +41,9 @@
 
 
 @document_checks.register(UpstreamListDocument)
-def check_upstream_limits(found: UpstreamListDocument) -> Iterator[CheckMessage]:
+def check_upstream_limits(document: UpstreamListDocument) -> Iterator[CheckMessage]:
     """Find limits of an upstream that contradict each other."""
-    for position, entry in enumerate(found.upstreams):
+    for position, entry in enumerate(document.upstreams):
         if entry.connections < entry.slots:
             yield CheckMessage(
                 id="GL-U004",
@@ -56,6 +56,6 @@
                 id="GL-U005",
                 path=f"$.upstreams[{position}].cold_allowance",
                 text="a cold upstream is allowed more than its slots",
-                hint="lower cold_allowance to what it bears while cold",
+                hint="lower cold_allowance to what the upstream can serve while cold",
                 level=Level.WARNING,
             )
--- a/packages/geraniumlead/src/geraniumlead/documents/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/__init__.py
@@ -1,4 +1,4 @@
-"""Describe what operators publish on the platform and decode it."""
+"""Define and decode the documents that operators publish on the platform."""
 
 from geraniumlead.documents.contract import ContractDocument
 from geraniumlead.documents.data_centre import DataCentreDocument
--- a/packages/geraniumlead/src/geraniumlead/documents/data_centre.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/data_centre.py
@@ -1,4 +1,4 @@
-"""Define the state that operators give a data centre."""
+"""Define a data centre with the state that operators set."""
 
 from typing import Annotated, Literal
 
--- a/packages/geraniumlead/src/geraniumlead/documents/decoding.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/decoding.py
@@ -1,5 +1,3 @@
-"""Decode the platform's values into documents."""
-
 from msgspec import DecodeError, ValidationError
 from msgspec.json import Decoder
 
@@ -24,11 +22,11 @@
 
 
 def decode_document(versioned: VersionedValue) -> Document | RefusedDocument:
-    """Decode a value by the kind in its key; a pure function, so all instances agree.
+    """Decode a value by the kind in its key.
 
-    ``versioned.value`` must not be None. A value that is malformed, or that names another
-    customer, data centre or index than its key, or that fails a check of its own, is a
-    RefusedDocument.
+    The result depends on the value alone, so all instances agree. Return a RefusedDocument if
+    the value is None or malformed, names another customer, data centre or index than its key, or
+    fails a check of single documents.
     """
     kind = kind_of_key(versioned.key)
     if kind is None or versioned.value is None:
--- a/packages/geraniumlead/src/geraniumlead/documents/document_keys.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/document_keys.py
@@ -1,5 +1,3 @@
-"""Name the only key under which a document may be published."""
-
 from geraniumlead.documents.contract import ContractDocument
 from geraniumlead.documents.data_centre import DataCentreDocument
 from geraniumlead.documents.index import IndexDocument
--- a/packages/geraniumlead/src/geraniumlead/documents/instance_entry.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/instance_entry.py
@@ -1,4 +1,4 @@
-"""Define one entry instance as the platform publishes it."""
+"""Define an instance as the platform publishes it."""
 
 from typing import Annotated, Literal
 
--- a/packages/geraniumlead/src/geraniumlead/documents/kinds.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/kinds.py
@@ -1,4 +1,4 @@
-"""Name the kinds of documents and the keys under which they are published."""
+"""Define the kinds of documents and the keys under which they are published."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class DocumentKind(StrEnum):
-    """Tell the documents apart by the first segment of their key."""
+    """The kinds of documents; a value is the first segment of a key after the prefix."""
 
     CONTRACT = "contracts"
     DATA_CENTRE = "data-centres"
@@ -21,7 +21,7 @@
 
 
 def kind_of_key(key: str) -> DocumentKind | None:
-    """Return the kind of document that a key holds, or None for a key that is not ours."""
+    """Return the kind of document that a key holds, or None for any other key."""
     if not key.startswith(KEY_PREFIX):
         return None
     segment = key[len(KEY_PREFIX) :].split("/", 1)[0]
--- a/packages/geraniumlead/src/geraniumlead/documents/upstream_entry.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/upstream_entry.py
@@ -1,4 +1,4 @@
-"""Define one upstream server as the platform publishes it."""
+"""Define an upstream server as the platform publishes it."""
 
 from typing import Annotated, Literal
 
--- a/packages/geraniumlead/src/geraniumlead/documents/versioned.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/versioned.py
@@ -1,10 +1,8 @@
-"""Define a platform value together with its revision."""
-
 from msgspec import Struct
 
 
 class VersionedValue(Struct, frozen=True, array_like=True):
-    """Carry one key's value; ``value`` None is a deletion at ``revision``."""
+    """The value of a key of the platform; ``value`` None is a deletion at ``revision``."""
 
     key: str
     revision: int
--- a/packages/geraniumlead/src/geraniumlead/file_checks/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/file_checks/__init__.py
@@ -1,9 +1,10 @@
-"""Name every error of a file at once, by its JSON schema and by the checks.
+"""Report all errors of a file at once, by its JSON schema and by the checks.
 
-A package of its own: the daemon decodes without it, and so never loads the schema library.
+This is a separate package so that the daemon does not load the schema library: it decodes
+documents without it, and imports this package only to explain errors in its settings file.
 """
 
-from geraniumlead.file_checks.check_text import CheckedText, check_text
+from geraniumlead.file_checks.check_text import TextCheckResult, check_text
 from geraniumlead.file_checks.schemas import SCHEMA_NAMES, build_schema
 
-__all__ = ["SCHEMA_NAMES", "CheckedText", "build_schema", "check_text"]
+__all__ = ["SCHEMA_NAMES", "TextCheckResult", "build_schema", "check_text"]
--- a/packages/geraniumlead/src/geraniumlead/file_checks/check_text.py
+++ b/packages/geraniumlead/src/geraniumlead/file_checks/check_text.py
@@ -13,7 +13,7 @@
 from geraniumlead.file_checks.schema_checks import check_schema
 from geraniumlead.file_checks.schemas import SETTINGS, TYPES
 
-_TELLING_FIELDS = {
+_KIND_OF_FIELD = {
     "customer": "contracts",
     "classes": "contracts",
     "credentials_sha256": "contracts",
@@ -24,30 +24,30 @@
     "listen": SETTINGS,
     "platform_addresses": SETTINGS,
 }
-"""Fields that occur in one kind only."""
+"""The kind of document of each field that occurs in one kind only."""
 
 
 @dataclass(slots=True)
-class CheckedText:
-    """Hold what was found, each with the name it is about, and what could be decoded."""
+class TextCheckResult:
+    """The findings, each with the name of its document, and the documents that were decoded."""
 
     findings: list[tuple[str, CheckMessage]] = field(default_factory=list)
     documents: list[NamedDocument] = field(default_factory=list)
 
 
-def check_text(name: str, text: bytes, kind: str | None = None) -> CheckedText:
-    """Return every error in a file; ``kind`` None guesses it from telling fields."""
-    checked = CheckedText()
+def check_text(name: str, text: bytes, kind: str | None = None) -> TextCheckResult:
+    """Return every error in a file. If ``kind`` is None, the fields determine it."""
+    result = TextCheckResult()
     parsed = parse_strictly(text)
-    checked.findings += [(name, message) for message in parsed.messages]
+    result.findings += [(name, message) for message in parsed.messages]
     if any(message.id == "GL-F001" for message in parsed.messages):
-        return checked
+        return result
     value = parsed.value
-    if kind is None and isinstance(value, dict) and _is_keyed(value):
+    if kind is None and isinstance(value, dict) and _has_document_keys(value):
         for key, document in value.items():
-            _check_keyed(checked, f"{name}#{key}", key, document)
-        return checked
-    kind = kind or _guess_kind(value)
+            _check_under_key(result, f"{name}#{key}", key, document)
+        return result
+    kind = kind or _detect_kind(value)
     if kind is None:
         message = CheckMessage(
             id="GL-F003",
@@ -55,19 +55,19 @@
             text="this is no known kind of document",
             hint=f"one of {', '.join(TYPES)}, or documents by key",
         )
-        checked.findings.append((name, message))
-        return checked
-    _check_value(checked, name, kind, value)
-    return checked
+        result.findings.append((name, message))
+        return result
+    _check_value(result, name, kind, value)
+    return result
 
 
-def _check_keyed(checked: CheckedText, name: str, key: str, value: object) -> None:
+def _check_under_key(result: TextCheckResult, name: str, key: str, value: object) -> None:
     kind = kind_of_key(key)
     if kind is None:
         message = CheckMessage(id="GL-F003", path="$", text=f"the key {key!r} names no document")
-        checked.findings.append((name, message))
+        result.findings.append((name, message))
         return
-    document = _check_value(checked, name, kind.value, value)
+    document = _check_value(result, name, kind.value, value)
     if document is not None and key_of_document(document) != key:
         message = CheckMessage(
             id="GL-F004",
@@ -75,32 +75,32 @@
             text="the document's name differs from its key",
             hint=f"its key is {key_of_document(document)}",
         )
-        checked.findings.append((name, message))
+        result.findings.append((name, message))
 
 
-def _check_value(checked: CheckedText, name: str, kind: str, value: object) -> object | None:
-    breaches = check_schema(kind, value)
-    if not breaches:
+def _check_value(result: TextCheckResult, name: str, kind: str, value: object) -> object | None:
+    violations = check_schema(kind, value)
+    if not violations:
         try:
             document = convert(value, TYPES[kind])
         except ValidationError as error:
-            # The decoder is stricter than its schema, for instance about huge integers.
-            breaches = [CheckMessage(id="GL-S007", path="$", text=str(error))]
-    checked.findings += [(name, message) for message in breaches]
-    if breaches:
+            # The decoder is stricter than the schema, for instance about huge integers.
+            violations = [CheckMessage(id="GL-S007", path="$", text=str(error))]
+    result.findings += [(name, message) for message in violations]
+    if violations:
         return None
-    checked.findings += [(name, message) for message in check_document(document)]
+    result.findings += [(name, message) for message in check_document(document)]
     if kind != SETTINGS:
-        checked.documents.append(NamedDocument(name, document))
+        result.documents.append(NamedDocument(name, document))
     return document
 
 
-def _is_keyed(value: dict) -> bool:
+def _has_document_keys(value: dict) -> bool:
     return bool(value) and all(name.startswith(KEY_PREFIX) for name in value)
 
 
-def _guess_kind(value: object) -> str | None:
+def _detect_kind(value: object) -> str | None:
     if not isinstance(value, dict):
         return None
-    kinds = [kind for name, kind in _TELLING_FIELDS.items() if name in value]
+    kinds = [kind for name, kind in _KIND_OF_FIELD.items() if name in value]
     return max(set(kinds), key=kinds.count) if kinds else None
--- a/packages/geraniumlead/src/geraniumlead/file_checks/schema_checks.py
+++ b/packages/geraniumlead/src/geraniumlead/file_checks/schema_checks.py
@@ -1,4 +1,4 @@
-"""Check a parsed document against its JSON schema, naming every error at once."""
+"""Check a parsed document against its JSON schema, and report all errors at once."""
 
 from collections.abc import Iterator
 from difflib import get_close_matches
@@ -25,9 +25,9 @@
 
 
 def check_schema(name: str, parsed: object) -> list[CheckMessage]:
-    """Return all breaches of the schema of one kind of document."""
+    """Return all violations of the schema of one kind of document."""
     errors = sorted(_validator(name).iter_errors(parsed), key=lambda error: error.json_path)
-    return [message for error in errors for message in _explain(error)]
+    return [message for error in errors for message in _build_messages(error)]
 
 
 @cache
@@ -35,16 +35,16 @@
     return Draft202012Validator(build_schema(name))
 
 
-def _explain(error: ValidationError) -> Iterator[CheckMessage]:
+def _build_messages(error: ValidationError) -> Iterator[CheckMessage]:
     path = error.json_path
     match error.validator:
         case "additionalProperties":
             known = error.schema["properties"]
             for field in sorted(error.instance.keys() - known.keys()):
-                yield _explain_unknown(path, field, list(known))
+                yield _build_unknown_field_message(path, field, list(known))
         case "required":
             missing = [name for name in error.validator_value if name not in error.instance]
-            # The library reports one error a field; its text names the field.
+            # The library reports one error for each missing field and names the field in its text.
             name = next(name for name in missing if f"'{name}'" in error.message)
             yield CheckMessage(id="GL-S003", path=path, text=f"the field {name!r} is missing")
         case "type":
@@ -71,25 +71,27 @@
             yield CheckMessage(id="GL-S007", path=path, text=f"{validator}: {error.message:.120}")
 
 
-def _explain_unknown(path: str, field: str, known: list[str]) -> CheckMessage:
-    same = [name for name in known if _stem(name) == _stem(field)]
-    if same:
+def _build_unknown_field_message(path: str, field: str, known: list[str]) -> CheckMessage:
+    same_quantity = [name for name in known if _strip_unit(name) == _strip_unit(field)]
+    if same_quantity:
         return CheckMessage(
             id="GL-S002",
             path=f"{path}.{field}",
             text=f"{field!r} has the wrong unit",
-            hint=f"the field is {same[0]!r}",
+            hint=f"the field is {same_quantity[0]!r}",
         )
-    close = get_close_matches(field, known, n=1)
+    close_matches = get_close_matches(field, known, n=1)
     return CheckMessage(
         id="GL-S001",
         path=f"{path}.{field}",
         text=f"the field {field!r} is unknown",
-        hint=f"did you mean {close[0]!r}?" if close else f"known: {', '.join(known)}",
+        hint=(
+            f"did you mean {close_matches[0]!r}?" if close_matches else f"known: {', '.join(known)}"
+        ),
     )
 
 
-def _stem(field: str) -> str:
+def _strip_unit(field: str) -> str:
     for suffix in sorted(UNIT_SUFFIXES, key=len, reverse=True):
         if field.endswith(suffix):
             return field[: -len(suffix)]
--- a/packages/geraniumlead/src/geraniumlead/file_checks/schemas.py
+++ b/packages/geraniumlead/src/geraniumlead/file_checks/schemas.py
@@ -1,4 +1,4 @@
-"""Write the JSON schemas of everything that operators write."""
+"""Build the JSON schemas of the documents and settings that operators write."""
 
 from msgspec.json import schema
 
@@ -25,5 +25,5 @@
 
 def build_schema(name: str) -> dict:
     """Return the JSON schema (2020-12) of a kind of document or of the settings."""
-    found = schema(TYPES[name])
-    return {"$schema": "https://json-schema.org/draft/2020-12/schema"} | found
+    json_schema = schema(TYPES[name])
+    return {"$schema": "https://json-schema.org/draft/2020-12/schema"} | json_schema
--- a/packages/geraniumlead/src/geraniumlead/settings/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Describe and load an instance's settings."""
+"""Define and load the settings of an instance."""
 
 from geraniumlead.settings.instance_settings import InstanceSettings
 from geraniumlead.settings.limits import LimitSettings
--- a/packages/geraniumlead/src/geraniumlead/settings/forwarding_settings.py
+++ b/packages/geraniumlead/src/geraniumlead/settings/forwarding_settings.py
@@ -1,18 +1,16 @@
-"""Define the figures that the forwarder is bound by."""
-
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardingSettings:
-    """Hold what the platform promises and demands of one instance.
+    """The settings of the forwarder: what the platform guarantees and requires of an instance.
 
-    ``extra_share`` and ``extra_slack`` bound the requests that all instances together may
-    send beyond the first of each: the share of the requests for a service in a window of
-    ``extra_window_ms``, plus the slack. ``regions`` maps each data centre to its region.
-    A cold upstream takes ``cold_factor`` times its own rate and ``cold_slack`` requests a
-    second from all of them. ``address`` is where peers reach this instance, ``seeds`` are
-    some of theirs.
+    ``extra_share`` and ``extra_slack`` limit the requests that all instances together may send
+    beyond the first attempts: the share of the requests for a service in a window of
+    ``extra_window_ms``, plus the slack. ``regions`` maps each data centre to its region. All
+    instances together may send a cold upstream ``cold_factor`` times its own rate plus
+    ``cold_slack`` requests per second. ``address`` is the address at which peers reach this
+    instance, ``seeds`` are the addresses of some peers.
     """
 
     instance_id: str
@@ -28,5 +26,5 @@
 
     @property
     def region(self) -> str | None:
-        """Return the region of this instance."""
+        """Return the region of this instance, or None if it is unknown."""
         return self.regions.get(self.data_centre)
--- a/packages/geraniumlead/src/geraniumlead/settings/instance_settings.py
+++ b/packages/geraniumlead/src/geraniumlead/settings/instance_settings.py
@@ -33,5 +33,5 @@
 
     @classmethod
     def from_json(cls, text: bytes) -> "InstanceSettings":
-        """Decode a settings file; raises msgspec.ValidationError with the path of the error."""
+        """Decode a settings file. Raise msgspec.ValidationError with the path of an error."""
         return decode(text, type=cls)
--- a/packages/geraniumlead/src/geraniumlead/settings/limits.py
+++ b/packages/geraniumlead/src/geraniumlead/settings/limits.py
@@ -1,4 +1,4 @@
-"""Define the bounds on what one instance takes in."""
+"""Define the limits on the requests that one instance accepts."""
 
 from typing import Annotated
 
--- a/packages/geraniumlead/src/geraniumlead/settings/platform_settings.py
+++ b/packages/geraniumlead/src/geraniumlead/settings/platform_settings.py
@@ -13,7 +13,7 @@
 
 
 class PlatformListenSettings(Struct, frozen=True, kw_only=True):
-    """Name an IP address and port for callers, the balancer's question, peers and metrics."""
+    """The addresses for callers, the load balancer's readiness check, peers and metrics."""
 
     callers: Address
     ready: Address
@@ -22,12 +22,12 @@
 
 
 class PlatformBoundSettings(Struct, frozen=True, kw_only=True):
-    """Set the bounds that the platform and its operators hold this instance to.
+    """The limits that the platform and its operators set for this instance.
 
-    ``extra_share`` and ``extra_slack`` bound the requests sent beyond the first of each to a
-    service in ``extra_window_s``, over all instances. ``cold_factor`` and ``cold_slack`` bound
-    what all of them send to a cold upstream in a second: its own rate times the one, plus the
-    other.
+    ``extra_share`` and ``extra_slack`` limit the requests beyond the first attempts that all
+    instances send to a service in ``extra_window_s``. ``cold_factor`` and ``cold_slack`` limit
+    what all instances together send to a cold upstream per second: its own rate times the
+    factor, plus the slack.
     """
 
     drain_ms: Milliseconds
@@ -42,10 +42,10 @@
 
 
 class PlatformSettings(Struct, frozen=True, kw_only=True):
-    """Tell one instance who it is, where it listens, and where the platform's store is.
+    """The identity of an instance, its listening addresses, and the platform's store.
 
-    ``data_centres`` maps each data centre to its region. Unknown fields are ignored: the
-    platform adds some at times.
+    ``data_centres`` maps each data centre to its region. Unknown fields are ignored, because
+    the platform sometimes adds fields.
     """
 
     instance_id: Annotated[str, Meta(min_length=1, max_length=200)]
@@ -62,11 +62,11 @@
 
     @classmethod
     def from_json(cls, text: bytes) -> "PlatformSettings":
-        """Decode a settings file; raises msgspec.DecodeError or ValidationError."""
+        """Decode a settings file. Raise msgspec.DecodeError or ValidationError if it is invalid."""
         return decode(text, type=cls)
 
-    def to_forwarding(self) -> ForwardingSettings:
-        """Return the figures that the decisions use."""
+    def to_forwarding_settings(self) -> ForwardingSettings:
+        """Return the settings of the forwarder."""
         bounds = self.bounds
         return ForwardingSettings(
             instance_id=self.instance_id,
--- a/packages/geraniumlead/src/geraniumlead/settings/timing.py
+++ b/packages/geraniumlead/src/geraniumlead/settings/timing.py
@@ -1,4 +1,4 @@
-"""Define the intervals and allowances that an instance's decisions use."""
+"""Define the intervals and timeouts that an instance's decisions use."""
 
 from typing import Annotated
 
--- a/packages/geraniumlead/tests/core_tests/checks/test_check_document.py
+++ b/packages/geraniumlead/tests/core_tests/checks/test_check_document.py
@@ -1,4 +1,4 @@
-"""Test the checks of single documents, and that an instance refuses what they find."""
+"""Test the checks of single documents, and that an instance refuses documents with errors."""
 
 from unittest import TestCase
 
@@ -23,12 +23,12 @@
 
 
 def find_ids(document) -> list[str]:
-    """Return the ids of what a document's checks find."""
+    """Return the ids of the findings in a document."""
     return [message.id for message in check_document(document)]
 
 
 class ContractCheckTests(TestCase):
-    def test_accepts_a_good_contract(self):
+    def test_accepts_a_valid_contract(self):
         self.assertEqual(find_ids(build_contract(valid_until="2027-01-31T00:00:00Z")), [])
 
     def test_finds_each_error(self):
@@ -50,15 +50,15 @@
             with self.subTest(check_id=check_id):
                 self.assertEqual(find_ids(build_contract(**changes)), [check_id])
 
-    def test_a_date_without_an_offset_is_no_instant(self):
+    def test_refuses_a_date_without_an_offset(self):
         self.assertEqual(find_ids(build_contract(valid_from="2027-01-31T00:00:00")), ["GL-C003"])
 
 
 class IndexCheckTests(TestCase):
-    def test_accepts_a_good_index(self):
+    def test_accepts_a_valid_index(self):
         self.assertEqual(find_ids(build_index()), [])
 
-    def test_finds_gaps_and_repeats(self):
+    def test_finds_gaps_and_duplicates(self):
         def index_of(*numbers, replicas=("a",)):
             shards = [ShardEntry(shard=number, replicas=list(replicas)) for number in numbers]
             return IndexDocument(service="ledger", version=1, shards=shards)
@@ -69,7 +69,7 @@
 
 
 class ListCheckTests(TestCase):
-    def test_finds_repeated_upstreams_and_addresses(self):
+    def test_finds_duplicate_upstreams_and_addresses(self):
         twice = [build_upstream(1), build_upstream(1)]
         found = UpstreamListDocument(data_centre="noord", upstreams=twice)
         self.assertEqual(find_ids(found), ["GL-U001", "GL-U002"])
@@ -84,7 +84,7 @@
         found = UpstreamListDocument(data_centre="noord", upstreams=[upstream])
         self.assertEqual(find_ids(found), ["GL-U004", "GL-U005"])
 
-    def test_finds_repeated_instances(self):
+    def test_finds_duplicate_instances(self):
         twice = [build_instance(1), build_instance(1)]
         found = InstanceListDocument(data_centre="noord", instances=twice)
         self.assertEqual(find_ids(found), ["GL-N001", "GL-N002"])
@@ -94,8 +94,8 @@
     def test_the_last_good_contract_stays_in_force(self):
         """An operator publishes a contract whose dates are swapped.
 
-        Every instance refuses it whole and says why; callers of the customer are served by
-        the last good one, and a later good one takes its place.
+        Every instance refuses the whole document and gives the reason. The customer's callers
+        are served by the last good contract until the next valid one.
         """
         key = "geraniumlead/contracts/acme"
         store = DocumentStore()
--- a/packages/geraniumlead/tests/core_tests/checks/test_check_set.py
+++ b/packages/geraniumlead/tests/core_tests/checks/test_check_set.py
@@ -1,4 +1,4 @@
-"""Test the checks of documents together."""
+"""Test the checks of several documents together."""
 
 from unittest import TestCase
 
@@ -8,19 +8,19 @@
 
 
 def find_ids(*documents) -> list[str]:
-    """Return the ids of what the checks of a set find, each once."""
+    """Return the distinct ids of the findings in a set."""
     named = [NamedDocument(str(place), document) for place, document in enumerate(documents)]
     return sorted({message.id for _, message in check_set(named)})
 
 
 def build_list(data_centre: str, *numbers: int, **changes) -> UpstreamListDocument:
-    """Return a list of numbered upstreams."""
+    """Return the upstream list of a data centre, with numbered upstreams."""
     upstreams = [build_upstream(number, **changes) for number in numbers]
     return UpstreamListDocument(data_centre=data_centre, upstreams=upstreams)
 
 
 class CheckSetTests(TestCase):
-    def test_accepts_a_good_set(self):
+    def test_accepts_a_valid_set(self):
         found = find_ids(
             build_contract(),
             build_index(shard_count=2, replica_count=1),
@@ -38,7 +38,7 @@
     def test_finds_an_upstream_in_two_data_centres(self):
         self.assertEqual(find_ids(build_list("noord", 0), build_list("zuid", 0)), ["GL-X003"])
 
-    def test_finds_replicas_that_no_list_names(self):
+    def test_finds_replicas_that_are_in_no_list(self):
         index = build_index(shard_count=2, replica_count=1)
         self.assertEqual(find_ids(index, build_list("noord", 0)), ["GL-X005"])
 
--- a/packages/geraniumlead/tests/core_tests/checks/test_reference.py
+++ b/packages/geraniumlead/tests/core_tests/checks/test_reference.py
@@ -1,4 +1,4 @@
-"""Test that the page of checks names every check."""
+"""Test that the reference page of the checks lists every check."""
 
 import re
 from pathlib import Path
--- a/packages/geraniumlead/tests/core_tests/documents/test_decoding.py
+++ b/packages/geraniumlead/tests/core_tests/documents/test_decoding.py
@@ -1,4 +1,4 @@
-"""Test that a document is taken whole or refused whole."""
+"""Test that a document is either accepted or refused as a whole."""
 
 from unittest import TestCase
 
@@ -14,7 +14,7 @@
             with self.subTest(key=versioned.key):
                 self.assertNotIsInstance(decode_document(versioned), RefusedDocument)
 
-    def test_refuses_a_document_under_another_name(self):
+    def test_refuses_a_document_whose_name_differs_from_its_key(self):
         versioned = VersionedValue("geraniumlead/contracts/other", 3, encode(build_contract()))
         self.assertIn("differs from its key", decode_document(versioned).reason)
 
--- a/packages/geraniumlead/tests/core_tests/file_checks/test_check_text.py
+++ b/packages/geraniumlead/tests/core_tests/file_checks/test_check_text.py
@@ -1,4 +1,4 @@
-"""Test that every error of a file is named at once."""
+"""Test that all errors of a file are reported at once."""
 
 from unittest import TestCase
 
@@ -10,7 +10,7 @@
 
 
 def find(value, **options) -> list[tuple[str, str]]:
-    """Return id and path of what is found in a value's text."""
+    """Return id and path of each finding in the JSON text of a value."""
     text = value if isinstance(value, bytes) else encode(value)
     found = check_text("file", text, **options).findings
     return [(message.id, message.path) for _, message in found]
@@ -20,10 +20,10 @@
     def build(self, **changes) -> dict:
         return to_builtins(build_contract()) | changes
 
-    def test_accepts_a_good_contract(self):
+    def test_accepts_a_valid_contract(self):
         self.assertEqual(find(self.build()), [])
 
-    def test_names_all_errors_at_once(self):
+    def test_reports_all_errors_at_once(self):
         contract = self.build(rate_per_s=-1, weight="8", colour="red")
         del contract["burst_requests"]
         self.assertEqual(
@@ -36,7 +36,7 @@
             ],
         )
 
-    def test_names_a_wrong_unit_and_the_right_field(self):
+    def test_reports_a_wrong_unit_and_the_right_field(self):
         contract = self.build()
         contract["classes"][0]["deadline_s"] = 1
         found = check_text("file", encode(contract)).findings
@@ -44,11 +44,11 @@
         self.assertEqual(found[0][1].path, "$.classes[0].deadline_s")
         self.assertIn("'deadline_ms'", found[0][1].hint)
 
-    def test_finds_a_name_that_stands_twice(self):
+    def test_finds_a_duplicate_name(self):
         text = encode(self.build()).replace(b'{"customer"', b'{"weight":1,"customer"', 1)
         self.assertEqual(find(text), [("GL-F002", "$")])
 
-    def test_refuses_what_is_no_json(self):
+    def test_refuses_invalid_json(self):
         for text in (b"", b"{", b'{"customer": NaN}', b"[" * 100_000, b"\xff"):
             with self.subTest(text=text[:10]):
                 self.assertEqual(find(text), [("GL-F001", "$")])
@@ -64,5 +64,5 @@
         }
         self.assertEqual([check_id for check_id, _ in find(keyed)], ["GL-F004", "GL-F003"])
 
-    def test_checks_a_file_as_the_kind_that_it_is_told(self):
+    def test_checks_a_file_as_the_given_kind(self):
         self.assertIn(("GL-S003", "$"), find(self.build(), kind="data-centres"))
