--- a/packages/geraniumlead/src/geraniumlead/configuration/document_store.py
+++ b/packages/geraniumlead/src/geraniumlead/configuration/document_store.py
@@ -39,7 +39,7 @@
 
     @property
     def lacks_last_good(self) -> bool:
-        """Return whether a document was refused and no earlier one is in force instead."""
+        """Return whether a document was refused and no earlier good one is in force instead."""
         return any(key not in self._documents for key in self._refused)
 
     def apply(
@@ -125,9 +125,9 @@
         return held.value != versioned.value
 
     def _is_forked(self, documents: tuple[VersionedValue, ...], revision: int) -> bool:
-        # The snapshot includes the held revision of a key by its number, but shows an older one,
-        # so the platform has lost changes. Keys missing from the snapshot are then lost as well,
-        # not deleted by an operator.
+        # By its revision the snapshot should contain the held value of a key, but it has an older
+        # one, so the platform has lost changes. Keys missing from the snapshot are then lost as
+        # well, and not deleted by an operator.
         for versioned in documents:
             held = self._newest.get(versioned.key)
             if held is not None and versioned.revision < held.revision <= revision:
--- a/packages/geraniumlead/src/geraniumlead/documents/decoding.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/decoding.py
@@ -24,9 +24,9 @@
 def decode_document(versioned: VersionedValue) -> Document | RefusedDocument:
     """Decode a value by the kind in its key.
 
-    The result depends on the value alone, so all instances agree. Return a RefusedDocument if
-    the value is None or malformed, names another customer, data centre or index than its key, or
-    fails a check of single documents.
+    The result depends on the key and the value alone, so all instances agree. Return a
+    RefusedDocument if the key names no document, or if the value is None, is malformed, names
+    another customer, data centre or index than its key, or fails a check of single documents.
     """
     kind = kind_of_key(versioned.key)
     if kind is None or versioned.value is None:
--- a/packages/geraniumlead/src/geraniumlead/file_checks/schema_checks.py
+++ b/packages/geraniumlead/src/geraniumlead/file_checks/schema_checks.py
@@ -80,14 +80,12 @@
             text=f"{field!r} has the wrong unit",
             hint=f"the field is {same_quantity[0]!r}",
         )
-    close_matches = get_close_matches(field, known, n=1)
+    matches = get_close_matches(field, known, n=1)
     return CheckMessage(
         id="GL-S001",
         path=f"{path}.{field}",
         text=f"the field {field!r} is unknown",
-        hint=(
-            f"did you mean {close_matches[0]!r}?" if close_matches else f"known: {', '.join(known)}"
-        ),
+        hint=f"did you mean {matches[0]!r}?" if matches else f"known: {', '.join(known)}",
     )
 
 
--- a/packages/geraniumlead/src/geraniumlead/routing/replica.py
+++ b/packages/geraniumlead/src/geraniumlead/routing/replica.py
@@ -68,7 +68,7 @@
         self.last_latency_at_ms = now_ms
 
     def record_latency_lower_bound(self, elapsed_ms: float, now_ms: float) -> None:
-        """Update the average from a cancelled call, whose latency was at least ``elapsed_ms``."""
+        """Raise the average after a cancelled call, whose latency was at least ``elapsed_ms``."""
         if elapsed_ms > self.latency_ms > 0.0:
             self.last_latency_at_ms = now_ms
             self.latency_ms += LATENCY_WEIGHT * (elapsed_ms - self.latency_ms)
