--- a/packages/geraniumlead/src/geraniumlead/coordination/call_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/call_tracker.py
@@ -52,13 +52,13 @@
 
     def has_suspects(self) -> bool:
         """Return whether any upstream is suspected and may need a probe."""
-        return bool(self._router.suspected())
+        return bool(self._router.suspected_upstreams())
 
     def probe_suspect(
         self, query: OpenQuery, shard: ShardState, now_ms: float
     ) -> list[SendSubquery]:
         """Send the subquery also to a suspected replica, to check whether it has recovered."""
-        route = self._router.take_probe(shard.plan.replicas, shard.tried, now_ms)
+        route = self._router.choose_probe(shard.plan.replicas, shard.tried, now_ms)
         if route is None:
             return []
         step = self._send(query, shard, route, now_ms, is_probe=True)
@@ -72,7 +72,7 @@
         if call is None:
             return None
         latency_ms = now_ms - call.sent_ms
-        self._router.note_answer(call.route.upstream_id, answer, latency_ms, now_ms)
+        self._router.record_answer(call.route.upstream_id, answer, latency_ms, now_ms)
         if call.is_probe:
             call.query.probe_ids.remove(call_id)
             return None
@@ -89,7 +89,7 @@
         own deadline.
         """
         owners = {call.route.owner_id for call in self._calls.values()} - {None}
-        lost = {name for name in owners if not self._router.reaches(name, now_ms)}
+        lost = {name for name in owners if not self._router.is_reachable(name, now_ms)}
         if not lost:
             return []
         return [
@@ -111,7 +111,7 @@
         """Mark a shard as overdue and report its latest call to the router."""
         shard.is_overdue = True
         call = self._calls[shard.call_ids[-1]]
-        self._router.note_overdue(call.route.upstream_id, now_ms)
+        self._router.record_overdue(call.route.upstream_id, now_ms)
 
     def cancel_shard(self, shard: ShardState, now_ms: float) -> list[CoordinationStep]:
         """Cancel the open calls for a shard."""
@@ -136,7 +136,7 @@
 
     def _cancel(self, call_id: str, now_ms: float) -> CancelSubquery:
         call = self._calls.pop(call_id)
-        self._router.note_cancelled(call.route.upstream_id, now_ms - call.sent_ms, now_ms)
+        self._router.record_cancelled(call.route.upstream_id, now_ms - call.sent_ms, now_ms)
         return CancelSubquery(call_id, call.route)
 
     def _send(
@@ -150,7 +150,7 @@
         self._next_call += 1
         call_id = f"{self._prefix}{self._next_call}"
         self._calls[call_id] = OpenCall(query, shard, route, now_ms, is_probe)
-        self._router.note_sent(route.upstream_id)
+        self._router.record_sent(route.upstream_id)
         query.subqueries += 1
         request = query.request
         subquery = Subquery(
--- a/packages/geraniumlead/src/geraniumlead/coordination/coordinator.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/coordinator.py
@@ -20,7 +20,7 @@
 from geraniumlead.routing.router import Router
 from geraniumlead.tail.straggler_detector import StragglerDetector
 from geraniumlead.upstreams.answers import (
-    SURELY_NOT_RUN,
+    NOT_EXECUTED,
     Cold,
     ConnectionLost,
     Draining,
@@ -153,7 +153,7 @@
                 return self._end(query, outcome, now_ms)
             case Records() | WrongVersion():
                 return self._handle_wrong_version(call, now_ms)
-            case _ if not query.traffic_class.idempotent and not isinstance(answer, SURELY_NOT_RUN):
+            case _ if not query.traffic_class.idempotent and not isinstance(answer, NOT_EXECUTED):
                 # The upstream may have run the request, so a retry could run it twice.
                 outcome = Unknown("the connection to the upstream ended without an answer")
                 return self._end(query, outcome, now_ms)
--- a/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
@@ -1,5 +1,5 @@
 from geraniumlead.actions import ReadPlatform, Report
-from geraniumlead.configuration import DivergenceWatch, QuestionGate, StoreChange
+from geraniumlead.configuration import DivergenceDetector, DocumentRequestLimiter, StoreChange
 from geraniumlead.documents import DocumentKind, document_key
 from geraniumlead.events import DocumentsReceived, PlatformReadFailed
 from geraniumlead.instance.call_handler import CallHandler
@@ -45,9 +45,9 @@
     def __init__(self, parts: InstanceParts, calls: CallHandler) -> None:
         self._parts = parts
         self._calls = calls
-        self._divergence = DivergenceWatch()
+        self._divergence = DivergenceDetector()
         self._owners = OwnerTable(parts.store.view)
-        self._questions = QuestionGate()
+        self._questions = DocumentRequestLimiter()
         self._reread_ms = float("-inf")
         self.contact = PlatformFreshness(parts.random)
         self.is_watching = False
@@ -76,8 +76,8 @@
             event.documents, event.revision, event.is_snapshot, event.above_revision
         )
         self._apply_change(change, now_ms)
-        if change.taken:
-            self._send_to_local_peers(DocumentsUpdate(store.revision, change.taken, held_revision))
+        if change.stored:
+            self._send_to_local_peers(DocumentsUpdate(store.revision, change.stored, held_revision))
         if event.revision < store.revision:
             # The response came from a stale replica of the platform, so newer documents may exist.
             self._handle_stale_read(event.revision, now_ms)
@@ -101,9 +101,9 @@
         self._apply_change(change, now_ms)
         if message.revision > parts.store.revision:
             self.request_documents(sender_id, message.revision, now_ms)
-        if not change.taken:
+        if not change.stored:
             return
-        update = DocumentsUpdate(parts.store.revision, change.taken, held_revision)
+        update = DocumentsUpdate(parts.store.revision, change.stored, held_revision)
         sender = parts.membership.peers.get(sender_id)
         is_remote = sender is not None and sender.data_centre != parts.settings.data_centre
         # An update from another data centre reaches this one only through this instance, and a
@@ -114,7 +114,7 @@
 
     def request_documents(self, peer_id: str, revision: int, now_ms: float) -> None:
         """Request the documents up to a peer's revision, unless they were requested just now."""
-        if self._questions.may_ask(self._parts.store.revision, revision, now_ms):
+        if self._questions.may_request(self._parts.store.revision, revision, now_ms):
             self._parts.send(peer_id, DocumentsRequest(self._parts.store.revision))
 
     def send_documents(self, sender_id: str, message: DocumentsRequest) -> None:
@@ -147,7 +147,7 @@
             self.contact.record_relayed_age(heartbeat.platform_age_ms, now_ms)
         if heartbeat.revision != store.revision:
             return
-        if self._divergence.must_ask(store.digest, heartbeat.digest, now_ms):
+        if self._divergence.should_request_all(store.digest, heartbeat.digest, now_ms):
             fields = {"peer": sender_id, "revision": store.revision}
             parts.actions.append(Report("configuration_diverged", fields, "error"))
             parts.send(sender_id, DocumentsRequest(ALL_REVISIONS))
@@ -183,9 +183,9 @@
             parts.actions.append(Report("document_conflict", {"key": key}, "error"))
         if change.is_forked:
             parts.actions.append(Report("platform_history_forked", {}, "error"))
-        if change.taken:
+        if change.stored:
             self._apply_view(now_ms)
-            fields = {"revision": parts.store.revision, "documents": len(change.taken)}
+            fields = {"revision": parts.store.revision, "documents": len(change.stored)}
             parts.actions.append(Report("configuration_in_force", fields))
 
     def _apply_view(self, now_ms: float) -> None:
