--- a/packages/geraniumlead-client/src/geraniumlead_client/__init__.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/__init__.py
@@ -1,1 +1,1 @@
-"""Offer the operators' command geraniumlead."""
+"""The operators' command ``geraniumlead``."""
--- a/packages/geraniumlead-client/src/geraniumlead_client/addresses.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/addresses.py
@@ -1,11 +1,11 @@
-"""Take the operators' addresses of instances from the command line."""
+"""Command-line arguments for the operators' addresses of instances."""
 
 from argparse import ArgumentParser, Namespace
 from pathlib import Path
 
 
 def add_address_arguments(parser: ArgumentParser) -> None:
-    """Add the arguments that say which instances to ask."""
+    """Add the arguments that select the instances to query."""
     parser.add_argument(
         "--address",
         action="append",
@@ -14,13 +14,13 @@
         help="operators' address of an instance; may be given several times",
     )
     parser.add_argument(
-        "--addresses", type=Path, metavar="FILE", help="file of addresses, one a line"
+        "--addresses", type=Path, metavar="FILE", help="file of addresses, one per line"
     )
     parser.add_argument("--json", action="store_true", help="print JSON for programs")
 
 
 def read_addresses(arguments: Namespace) -> list[str]:
-    """Return all addresses, each once, in their order."""
+    """Return the addresses without duplicates, in the order given."""
     addresses = list(arguments.address)
     if arguments.addresses is not None:
         lines = (line.strip() for line in arguments.addresses.read_text().splitlines())
--- a/packages/geraniumlead-client/src/geraniumlead_client/bounded_load.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/bounded_load.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BoundedLoad:
-    """Say what to send, where, how fast and for how long."""
+    """The requests to send, their targets, rate and duration."""
 
     addresses: list[str]
     credential: str
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadResult:
-    """Count the outcomes; times are of all requests that were answered."""
+    """The number of requests by outcome, and the latency of all answered requests."""
 
     sent: int
     outcomes: dict[str, int]
@@ -34,7 +34,7 @@
 
 
 async def send_load(load: BoundedLoad) -> LoadResult:
-    """Send in turn to each address; wait for the last answer."""
+    """Send to the addresses in turn, wait for all answers and return the result."""
     outcomes: Counter = Counter()
     times_ms: list[float] = []
     async with ClientSession(
@@ -79,7 +79,7 @@
     times_ms.append((time.monotonic() - started_s) * 1000.0)
 
 
-def _percentile(sorted_values: list[float], share: float) -> float:
+def _percentile(sorted_values: list[float], fraction: float) -> float:
     if not sorted_values:
         return 0.0
-    return sorted_values[min(len(sorted_values) - 1, int(len(sorted_values) * share))]
+    return sorted_values[min(len(sorted_values) - 1, int(len(sorted_values) * fraction))]
--- a/packages/geraniumlead-client/src/geraniumlead_client/commands/__init__.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/commands/__init__.py
@@ -1,4 +1,4 @@
-"""List the commands, one in each module."""
+"""The commands of ``geraniumlead``, one module each."""
 
 from geraniumlead_client.commands.check import CheckCommand
 from geraniumlead_client.commands.contracts import ContractsCommand
--- a/packages/geraniumlead-client/src/geraniumlead_client/commands/check.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/commands/check.py
@@ -1,5 +1,3 @@
-"""Check files before they are published."""
-
 from argparse import ArgumentParser, Namespace
 from pathlib import Path
 
@@ -13,20 +11,22 @@
 
 
 class CheckCommand(ManagementCommand):
-    """Name every error of the given files at once."""
+    """Check files before they are published and report all of their errors at once."""
 
     name = "check"
     help = "check contracts, lists, indexes and settings"
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add files, kind and output."""
+        """Add the files, their kind and the output format."""
         parser.add_argument("files", nargs="+", type=Path, metavar="FILE")
-        parser.add_argument("--kind", choices=SCHEMA_NAMES, help="instead of a guess")
+        parser.add_argument(
+            "--kind", choices=SCHEMA_NAMES, help="kind of all files (default: guessed)"
+        )
         parser.add_argument("--strict", action="store_true", help="fail on warnings too")
         parser.add_argument("--json", action="store_true", help="print JSON for programs")
 
     def run(self, arguments: Namespace) -> int:
-        """Exit 1 when a file has an error."""
+        """Return 1 if a file has an error, or with --strict a warning."""
         findings = check_files(arguments.files, arguments.kind)
         errors = [message for _, message in findings if message.level is Level.ERROR]
         if arguments.json:
@@ -41,7 +41,7 @@
 
 
 def check_files(paths: list[Path], kind: str | None) -> list[Finding]:
-    """Return what is wrong with each file, and with all of them together."""
+    """Return the findings for each file, and those for all files as a set."""
     findings: list[Finding] = []
     documents = []
     for path in paths:
--- a/packages/geraniumlead-client/src/geraniumlead_client/commands/contracts.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/commands/contracts.py
@@ -1,5 +1,3 @@
-"""Show the contracts in force."""
-
 from argparse import ArgumentParser, Namespace
 
 from geraniumlead_client.addresses import add_address_arguments, read_addresses
@@ -11,7 +9,7 @@
 
 
 class ContractsCommand(ManagementCommand):
-    """Show the contracts of the instance with the newest revision."""
+    """Show the contracts in force at the instance with the newest revision."""
 
     name = "contracts"
     help = "show the contracts in force"
--- a/packages/geraniumlead-client/src/geraniumlead_client/commands/explain.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/commands/explain.py
@@ -1,5 +1,3 @@
-"""Explain what became of one request."""
-
 from argparse import ArgumentParser, Namespace
 from urllib.parse import quote
 
@@ -7,28 +5,31 @@
 from geraniumlead_client.exit_codes import NOT_FOUND, OK, UNREACHABLE, USAGE
 from geraniumlead_client.explanations import explain_outcome
 from geraniumlead_client.management_command import ManagementCommand
-from geraniumlead_client.operators_api import Reply, ask
+from geraniumlead_client.operators_api import Reply, fetch_replies
 from geraniumlead_client.printing import print_error, print_json
 
 
 class ExplainCommand(ManagementCommand):
-    """Ask every instance for a request: which limit, which decision, which upstreams."""
+    """Explain one request: the limit that refused it, its outcome and its upstreams.
+
+    Every given instance is asked for the request.
+    """
 
     name = "explain"
     help = "explain one request or refusal"
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the identifier and the addresses."""
-        parser.add_argument("request_id", help="as answered in X-Request-Id, or as sent in it")
+        """Add the request's id and the addresses."""
+        parser.add_argument("request_id", help="X-Request-Id of the request or the answer")
         add_address_arguments(parser)
 
     def run(self, arguments: Namespace) -> int:
-        """Exit 3 when no instance remembers the request."""
+        """Return 3 if no instance remembers the request, 4 if no instance answers."""
         addresses = read_addresses(arguments)
         if not addresses:
             print_error("give --address or --addresses")
             return USAGE
-        replies = ask(addresses, f"/v1/requests/{quote(arguments.request_id, safe='')}")
+        replies = fetch_replies(addresses, f"/v1/requests/{quote(arguments.request_id, safe='')}")
         found = [reply for reply in replies if reply.body is not None]
         if arguments.json:
             print_json({reply.address: reply.body["requests"] for reply in found})
--- a/packages/geraniumlead-client/src/geraniumlead_client/commands/instance.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/commands/instance.py
@@ -1,30 +1,28 @@
-"""Prepare the document that takes an instance out or brings it back."""
-
 from geraniumlead_client.fleet_documents import FleetDocuments
-from geraniumlead_client.moving_command import BACK, OUT, MovingCommand
 from geraniumlead_client.prepared_change import PreparedChange
+from geraniumlead_client.state_change_command import BACK, OUT, StateChangeCommand
 
 STATES = {OUT: "leaving", BACK: "live"}
 PREFIX = "geraniumlead/instances/"
 
 
-class InstanceCommand(MovingCommand):
-    """Change the state of an entry in the list of its data centre."""
+class InstanceCommand(StateChangeCommand):
+    """Prepare the instance list that takes an entry instance out or brings it back."""
 
     name = "instance"
-    help = "prepare taking an entry instance out, or back"
+    help = "prepare to take an entry instance out of service or bring it back"
 
     def prepare_change(
-        self, found: FleetDocuments, name: str, direction: str
+        self, fleet: FleetDocuments, name: str, direction: str
     ) -> PreparedChange | None:
-        """Return the list of the instance's data centre with its new state."""
-        for key, document in found.documents.items():
-            listed = document["instances"] if key.startswith(PREFIX) else []
-            if any(entry["instance_id"] == name for entry in listed):
-                entries = [
+        """Return the change of the instance list that sets the instance's new state."""
+        for key, document in fleet.documents.items():
+            entries = document["instances"] if key.startswith(PREFIX) else []
+            if any(entry["instance_id"] == name for entry in entries):
+                updated_entries = [
                     entry | {"state": STATES[direction]} if entry["instance_id"] == name else entry
-                    for entry in listed
+                    for entry in entries
                 ]
-                after = document | {"instances": entries}
-                return PreparedChange(key, found.revision, document, after)
+                after = document | {"instances": updated_entries}
+                return PreparedChange(key, fleet.revision, document, after)
         return None
--- a/packages/geraniumlead-client/src/geraniumlead_client/commands/load.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/commands/load.py
@@ -1,5 +1,3 @@
-"""Send a bounded load to entry instances."""
-
 import asyncio
 import os
 from argparse import ArgumentParser, Namespace
@@ -10,19 +8,19 @@
 from geraniumlead_client.printing import print_error, print_json
 from geraniumlead_client.tables import render_table
 
-MOST_RATE_PER_S = 2_000.0
-MOST_DURATION_S = 300.0
+MAX_RATE_PER_S = 2_000.0
+MAX_DURATION_S = 300.0
 CREDENTIAL_VARIABLE = "GERANIUMLEAD_CREDENTIAL"
 
 
 class LoadCommand(ManagementCommand):
-    """Send idempotent requests of one class and count what comes back."""
+    """Send a bounded load of idempotent requests of one class and count the outcomes."""
 
     name = "load"
     help = "send a bounded load of one idempotent class"
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the target and the bounds."""
+        """Add the targets, the requests and the limits of the load."""
         parser.add_argument("--address", action="append", required=True, metavar="IP:PORT")
         parser.add_argument("--class", dest="class_name", required=True)
         parser.add_argument("--rate-per-s", type=float, default=20.0)
@@ -32,14 +30,14 @@
         parser.add_argument("--json", action="store_true", help="print JSON for programs")
 
     def run(self, arguments: Namespace) -> int:
-        """Exit 1 when a request got no answer."""
-        # A token on the command line would show in the list of processes.
+        """Return 1 if a request got no answer."""
+        # A token on the command line would be visible in the process list.
         credential = os.environ.get(CREDENTIAL_VARIABLE)
         if not credential:
             print_error(f"set {CREDENTIAL_VARIABLE} to the caller's token")
             return USAGE
-        if arguments.rate_per_s > MOST_RATE_PER_S or arguments.duration_s > MOST_DURATION_S:
-            print_error(f"at most {MOST_RATE_PER_S:.0f}/s for {MOST_DURATION_S:.0f} s")
+        if arguments.rate_per_s > MAX_RATE_PER_S or arguments.duration_s > MAX_DURATION_S:
+            print_error(f"at most {MAX_RATE_PER_S:.0f}/s for {MAX_DURATION_S:.0f} s")
             return USAGE
         load = BoundedLoad(
             addresses=arguments.address,
--- a/packages/geraniumlead-client/src/geraniumlead_client/commands/losses.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/commands/losses.py
@@ -1,51 +1,52 @@
-"""Tell from the logs of all instances what callers lost, and why."""
-
 from argparse import ArgumentParser, ArgumentTypeError, Namespace
 
 from geraniumlead_client.exit_codes import FOUND_PROBLEMS, NOT_FOUND, OK
 from geraniumlead_client.log_files import add_log_files, report_skipped
-from geraniumlead_client.loss_account import LossAccount, LossRow
+from geraniumlead_client.loss_report import LossReport, LossRow
 from geraniumlead_client.management_command import ManagementCommand
 from geraniumlead_client.printing import print_error, print_json
 from geraniumlead_client.tables import render_table
 
 DEFAULT_LATE_SHARE = 0.1
-MOST_SECONDS = 10
+MAX_SECONDS_SHOWN = 10
 
 
 class LossesCommand(ManagementCommand):
-    """Add up the callers' credit that was lost, by cause, second, route and data centre."""
+    """Add up the credit that callers lost, by cause, second, route, data centre and instance.
+
+    It is computed from the logs of all instances.
+    """
 
     name = "losses"
-    help = "tell from the logs of all instances what callers lost, and why"
+    help = "report from the logs of all instances what callers lost, and why"
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the logs, the worth of a late answer, and the output."""
+        """Add the logs, the credit of a late answer and the output options."""
         parser.add_argument("files", nargs="+", metavar="FILE", help="- for standard input")
         parser.add_argument(
             "--late-share",
             type=_parse_share,
             default=DEFAULT_LATE_SHARE,
             metavar="SHARE",
-            help="what an answer after its goal is still worth, 0 to 1 (default: %(default)s)",
+            help="credit of an answer after its goal, 0 to 1 (default: %(default)s)",
         )
         parser.add_argument("--plot", metavar="FILE", help="draw the losses by second as PNG")
         parser.add_argument("--json", action="store_true", help="print JSON for programs")
 
     def run(self, arguments: Namespace) -> int:
-        """Exit 1 when a file could not be read or drawn, 3 when the logs hold no request."""
-        account = LossAccount(arguments.late_share)
-        unread = add_log_files(account, arguments.files)
-        report_skipped(account.skipped)
-        if not account.total.asked:
+        """Return 1 if a file could not be read or drawn, 3 if the logs hold no request."""
+        report = LossReport(arguments.late_share)
+        unreadable_files = add_log_files(report, arguments.files)
+        report_skipped(report.skipped)
+        if not report.total.asked:
             print_error("the logs hold no caller's request")
-            return FOUND_PROBLEMS if unread else NOT_FOUND
+            return FOUND_PROBLEMS if unreadable_files else NOT_FOUND
         if arguments.json:
-            print_json(_to_document(account))
+            print_json(_to_document(report))
         else:
-            _print_account(account)
-        is_drawn = arguments.plot is None or _draw(account, arguments.plot)
-        return OK if is_drawn and not unread else FOUND_PROBLEMS
+            _print_report(report)
+        is_drawn = arguments.plot is None or _draw_plot(report, arguments.plot)
+        return OK if is_drawn and not unreadable_files else FOUND_PROBLEMS
 
 
 def _parse_share(text: str) -> float:
@@ -58,14 +59,14 @@
     return share
 
 
-def _draw(account: LossAccount, name: str) -> bool:
+def _draw_plot(report: LossReport, name: str) -> bool:
     try:
         from geraniumlead_client.loss_plot import draw_losses
     except ImportError:
         print_error("--plot needs the package matplotlib, which is not installed")
         return False
     try:
-        draw_losses(account, name)
+        draw_losses(report, name)
     except (OSError, ValueError) as error:
         print_error(f"cannot draw {name}: {error}")
         return False
@@ -80,30 +81,30 @@
     return sorted(rows.values(), key=lambda row: row.name)
 
 
-def _to_document(account: LossAccount) -> dict[str, object]:
+def _to_document(report: LossReport) -> dict[str, object]:
     return {
-        "total": account.total,
-        "causes": _by_loss(account.causes),
-        "seconds": _by_name(account.seconds),
-        "routes": _by_name(account.routes),
-        "data_centres": _by_name(account.data_centres),
-        "instances": _by_name(account.instances),
-        "second_sendings": account.second_sendings,
-        "not_logged": account.not_logged,
+        "total": report.total,
+        "causes": _by_loss(report.causes),
+        "seconds": _by_name(report.seconds),
+        "routes": _by_name(report.routes),
+        "data_centres": _by_name(report.data_centres),
+        "instances": _by_name(report.instances),
+        "second_sendings": report.second_sendings,
+        "not_logged": report.not_logged,
     }
 
 
-def _print_account(account: LossAccount) -> None:
-    total = account.total.asked
-    _print_table("cause", [row for row in _by_loss(account.causes) if row.lost], total)
-    _print_table("route", _by_name(account.routes), total)
-    _print_table("data centre", _by_name(account.data_centres), total)
-    _print_table("instance", _by_name(account.instances), total)
-    _print_table("second", _by_loss(account.seconds)[:MOST_SECONDS], total)
-    _print_table("all", [account.total], total)
-    sendings = account.second_sendings
-    print(f"second sendings of late parts: {sendings.sent}, of which {sendings.answered} answered")
-    print(f"lines that instances left out of their logs: {account.not_logged}")
+def _print_report(report: LossReport) -> None:
+    total = report.total.asked
+    _print_table("cause", [row for row in _by_loss(report.causes) if row.lost], total)
+    _print_table("route", _by_name(report.routes), total)
+    _print_table("data centre", _by_name(report.data_centres), total)
+    _print_table("instance", _by_name(report.instances), total)
+    _print_table("second", _by_loss(report.seconds)[:MAX_SECONDS_SHOWN], total)
+    _print_table("all", [report.total], total)
+    hedges = report.second_sendings
+    print(f"second sendings of late parts: {hedges.sent}, of which {hedges.answered} answered")
+    print(f"lines that instances left out of their logs: {report.not_logged}")
 
 
 def _print_table(title: str, rows: list[LossRow], total: int) -> None:
--- a/packages/geraniumlead-client/src/geraniumlead_client/commands/schema.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/commands/schema.py
@@ -1,5 +1,3 @@
-"""Write the JSON schemas."""
-
 from argparse import ArgumentParser, Namespace
 from pathlib import Path
 
@@ -12,7 +10,7 @@
 
 
 class SchemaCommand(ManagementCommand):
-    """Print one schema, or write all of them to a folder."""
+    """Print one JSON schema, or write all of them to a folder."""
 
     name = "schema"
     help = "print or write the JSON schemas of documents and settings"
@@ -24,7 +22,7 @@
         group.add_argument("--folder", type=Path, help="write all to this folder")
 
     def run(self, arguments: Namespace) -> int:
-        """Print or write."""
+        """Print the named schema, or write all schemas to the folder."""
         if arguments.name is not None:
             print_json(build_schema(arguments.name))
             return OK
@@ -35,5 +33,5 @@
 
 
 def render_schema(name: str) -> bytes:
-    """Return the text of a schema's file."""
+    """Return the contents of a schema's file."""
     return format(encode(build_schema(name)), indent=2) + b"\n"
--- a/packages/geraniumlead-client/src/geraniumlead_client/explanations.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/explanations.py
@@ -1,6 +1,6 @@
-"""Say in words what an instance remembers of a request."""
+"""Describe an instance's record of a request in words."""
 
-REFUSALS = {
+REFUSAL_EXPLANATIONS = {
     "rate": "rate_per_s and burst_requests of the contract were used up",
     "concurrency": "concurrent_requests of the contract were open",
     "queue_full": "open_requests or queued_requests of the instance's settings were reached",
@@ -9,7 +9,7 @@
     "contract_unknown": "no contract in force has this customer and class",
     "quarantined": "the same query ended several upstreams' connections",
     "out_of_service": "the instance's data centre was taken out or it is stopping",
-    "stale_view": "the instance had been paused or cut off and did not trust its view yet",
+    "stale_view": "the instance had been paused or isolated and had not confirmed its view yet",
     "no_index": "no index version of the service is in force",
     "upstream_shed": "the upstream refused it for load, and nothing ran",
     "ticket_expired": "its ticket was not used in time",
@@ -21,7 +21,7 @@
 
 
 def explain_outcome(request: dict) -> list[str]:
-    """Return lines: what was asked, decided, and where it was sent."""
+    """Return lines that describe the request, its outcome and the upstreams it was sent to."""
     lines = [
         f"contract {request['contract']}, class {request['class']}, attempt {request['attempt']}, "
         f"allowed {request['allowed_ms']:.0f} ms, least coverage {request['least_coverage']:.0%}",
@@ -49,7 +49,7 @@
     reason = request["details"].get("reason", "")
     text = f"{outcome} after {request['latency_ms']:.1f} ms"
     if outcome == "not_run":
-        return f"{text}: {reason}: {REFUSALS.get(reason, '')}"
+        return f"{text}: {reason}: {REFUSAL_EXPLANATIONS.get(reason, '')}"
     if reason:
         return f"{text}: {reason}"
     details = request["details"]
--- a/packages/geraniumlead-client/src/geraniumlead_client/fleet_status.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/fleet_status.py
@@ -1,29 +1,29 @@
-"""Put the statuses of many instances together."""
+"""Merge the statuses of many instances."""
 
 from dataclasses import dataclass, field
 
 from geraniumlead_client.operators_api import Reply
 
-OLD_CONFIGURATION_MS = 30_000
-"""A watch brings a sign of life every few seconds, so that older news means no platform."""
+MAX_PLATFORM_AGE_MS = 30_000
+"""A watch receives something every few seconds, so a greater age means a lost platform."""
 
-WHY = {
+CONDITION_EXPLANATIONS = {
     "unproven": "not called lately, so it may have restarted",
     "cold": "showed a sign of cold start",
-    "warming": "answers warm and is given more step by step",
-    "draining": "said that it is leaving",
+    "warming": "answers at normal speed and is given more load step by step",
+    "draining": "announced that it is leaving",
     "suspected": "answers late",
     "leaving": "published as leaving",
     "out": "its data centre was taken out",
 }
 
-SETTLING = frozenset({"unproven", "warming"})
-"""Conditions of upstreams that are called seldom; in a quiet hour most of them are so."""
+ROUTINE_CONDITIONS = frozenset({"unproven", "warming"})
+"""Conditions of upstreams that are rarely called; under low load they apply to most upstreams."""
 
 
 @dataclass(slots=True)
 class FleetStatus:
-    """Hold the answers of all instances that were asked."""
+    """The replies of all queried instances, and the problems found in them."""
 
     statuses: list[dict]
     unreachable: list[Reply]
@@ -31,7 +31,7 @@
 
     @classmethod
     def from_replies(cls, replies: list[Reply]) -> "FleetStatus":
-        """Sort the replies and find what is wrong."""
+        """Separate statuses from missing replies and find the problems."""
         statuses = [reply.body for reply in replies if reply.body is not None]
         unreachable = [reply for reply in replies if reply.body is None]
         fleet = cls(statuses, unreachable)
@@ -39,7 +39,7 @@
         return fleet
 
     def instance_rows(self) -> list[list[object]]:
-        """Return one row for each instance, those without an answer last."""
+        """Return one row for each instance; unreachable instances come last."""
         rows = [
             [
                 status["instance_id"],
@@ -57,7 +57,7 @@
         return rows + [[reply.address, "unreachable", *unknown] for reply in self.unreachable]
 
     def data_centre_rows(self) -> list[list[object]]:
-        """Return one row for each data centre; instances that disagree show as several."""
+        """Return one row for each data centre, with every state that some instance reports."""
         states: dict[str, set[str]] = {}
         for status in self.statuses:
             for name, state in status["data_centres"].items():
@@ -67,21 +67,22 @@
             for name, found in sorted(states.items())
         ]
 
-    def settling_rows(self) -> list[list[object]]:
-        """Return how many upstreams of each service are on their ordinary way to full use."""
+    def routine_condition_rows(self) -> list[list[object]]:
+        """Return the number of upstreams of each service in each routine condition."""
         counts: dict[tuple[str, str], set[str]] = {}
         for status in self.statuses:
             for upstream_id, found in status.get("upstreams", {}).items():
-                for condition in SETTLING & set(found["conditions"]):
+                for condition in ROUTINE_CONDITIONS & set(found["conditions"]):
                     counts.setdefault((found["service"], condition), set()).add(upstream_id)
         return [[*name, len(found)] for name, found in sorted(counts.items())]
 
-    def upstream_rows(self, is_complete: bool) -> list[list[object]]:
-        """Return one row for each upstream that something is wrong with.
+    def upstream_rows(self, include_routine: bool) -> list[list[object]]:
+        """Return one row for each condition that keeps an upstream from full use.
 
-        With ``is_complete``, those that are merely unproven or warming have rows too.
+        Upstreams that are merely unproven or warming are left out unless ``include_routine`` is
+        set.
         """
-        hidden = frozenset() if is_complete else SETTLING
+        hidden = frozenset() if include_routine else ROUTINE_CONDITIONS
         merged: dict[tuple[str, str], list] = {}
         for status in self.statuses:
             for upstream_id, found in status.get("upstreams", {}).items():
@@ -97,7 +98,7 @@
                 upstream_id,
                 found["service"],
                 found["data_centre"],
-                f"{condition}: {WHY.get(condition, '')}",
+                f"{condition}: {CONDITION_EXPLANATIONS.get(condition, '')}",
                 seen_by,
                 in_flight,
                 waiting,
@@ -108,7 +109,7 @@
         ]
 
     def to_builtins(self) -> dict:
-        """Return everything for JSON."""
+        """Return the statuses, errors and problems as values that can be encoded as JSON."""
         return {
             "instances": self.statuses,
             "unreachable": {reply.address: reply.error for reply in self.unreachable},
@@ -123,7 +124,7 @@
         for status in self.statuses:
             name = status["instance_id"]
             age_ms = status["platform_age_ms"]
-            if status["is_watcher"] and (age_ms is None or age_ms > OLD_CONFIGURATION_MS):
+            if status["is_watcher"] and (age_ms is None or age_ms > MAX_PLATFORM_AGE_MS):
                 problems.append(f"{name} has not heard from the platform lately")
             if names := status.get("ambiguous_names"):
                 problems.append(f"{name}: two documents contradict each other: {', '.join(names)}")
@@ -132,8 +133,8 @@
         return problems
 
     def _count_ready(self, data_centre: str) -> str:
-        here = [status for status in self.statuses if status["data_centre"] == data_centre]
-        return f"{sum(status['ready'] for status in here)} of {len(here)}"
+        local = [status for status in self.statuses if status["data_centre"] == data_centre]
+        return f"{sum(status['ready'] for status in local)} of {len(local)}"
 
 
 def _round(value: float | None) -> int | None:
--- a/packages/geraniumlead-client/src/geraniumlead_client/log_files.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/log_files.py
@@ -1,4 +1,4 @@
-"""Read the logs that a command was given."""
+"""Read the log files named on a command line."""
 
 import sys
 from collections.abc import Iterable, Sequence
@@ -11,20 +11,20 @@
 STANDARD_INPUT = "-"
 
 
-class LogReader(Protocol):
-    """Take over the lines of logs, one log after the other."""
+class LogConsumer(Protocol):
+    """An object that accepts the lines of several logs, one log after the other."""
 
     def add(self, lines: Iterable[LogLine | SkippedLine]) -> None:
-        """Take over the lines of one log."""
+        """Add the lines of one log."""
 
 
-def add_log_files(reader: LogReader, names: Sequence[str]) -> list[str]:
-    """Pass each log to the reader; return the names of those that could not be read."""
-    return [name for name in names if not _add_file(reader, name)]
+def add_log_files(consumer: LogConsumer, names: Sequence[str]) -> list[str]:
+    """Add each log to the consumer; return the names of those that could not be read."""
+    return [name for name in names if not _add_file(consumer, name)]
 
 
 def report_skipped(skipped: Sequence[SkippedLine]) -> None:
-    """Name the first of the lines that were left out."""
+    """Print the number of skipped lines and the position of the first one."""
     if skipped:
         first = skipped[0]
         print_error(
@@ -33,13 +33,13 @@
         )
 
 
-def _add_file(reader: LogReader, name: str) -> bool:
+def _add_file(consumer: LogConsumer, name: str) -> bool:
     if name == STANDARD_INPUT:
-        reader.add(read_log("standard input", sys.stdin.buffer))
+        consumer.add(read_log("standard input", sys.stdin.buffer))
         return True
     try:
         with Path(name).open("rb") as file:
-            reader.add(read_log(name, file))
+            consumer.add(read_log(name, file))
     except OSError as error:
         print_error(f"cannot read {name}: {error.strerror}")
         return False
--- a/packages/geraniumlead-client/src/geraniumlead_client/log_lines.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/log_lines.py
@@ -1,4 +1,4 @@
-"""Read the JSON lines that instances write."""
+"""Read the JSON log lines that instances write."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """Hold one line of a log: where it was read, and its fields."""
+    """One line of an instance's log, with its source and line number."""
 
     source: str
     number: int
@@ -20,32 +20,32 @@
 
     @property
     def time(self) -> str:
-        """Return when it was written, ISO 8601 in UTC."""
+        """Return the time at which the line was written, ISO 8601 in UTC."""
         return self.fields["time"]
 
     @property
     def event(self) -> str:
-        """Return what happened."""
+        """Return the name of the event."""
         return self.fields["event"]
 
     @property
     def instance(self) -> str:
-        """Return which instance wrote it."""
+        """Return the instance that wrote the line, or the source if the line names none."""
         return str(self.fields.get("instance", self.source))
 
 
 @dataclass(frozen=True, slots=True)
 class SkippedLine:
-    """Name a line that is not one of an instance's log, or is damaged."""
+    """The position of a line that is damaged or was not written by an instance."""
 
     source: str
     number: int
 
 
 def read_log(source: str, lines: Iterable[bytes]) -> Iterator[LogLine | SkippedLine]:
-    """Read a log; what stands before the first brace of a line is left out.
+    """Yield the lines of a log, ignoring text before the first brace of a line.
 
-    Collectors of logs put times and names there.
+    Log collectors put times and names there.
     """
     for number, line in enumerate(lines, start=1):
         if not line.strip():
@@ -65,5 +65,5 @@
         return None
     if not isinstance(fields, dict):
         return None
-    is_own = isinstance(fields.get("time"), str) and isinstance(fields.get("event"), str)
-    return fields if is_own else None
+    is_instance_log = isinstance(fields.get("time"), str) and isinstance(fields.get("event"), str)
+    return fields if is_instance_log else None
--- a/packages/geraniumlead-client/src/geraniumlead_client/loss_plot.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/loss_plot.py
@@ -1,20 +1,20 @@
-"""Draw what callers lost, second by second."""
+"""Plot the credit that callers lost in each second."""
 
 from datetime import datetime
 
 import matplotlib
 from matplotlib.figure import Figure
 
-from geraniumlead_client.loss_account import LossAccount
+from geraniumlead_client.loss_report import LossReport
 
 matplotlib.use("Agg")
 
 SIZE_INCHES = (10.0, 4.0)
 
 
-def draw_losses(account: LossAccount, path: str) -> None:
-    """Write a PNG with the requests and the lost credit of each second."""
-    rows = sorted(account.seconds.values(), key=lambda row: row.name)
+def draw_losses(report: LossReport, path: str) -> None:
+    """Write a PNG that shows the requests and the lost credit of each second."""
+    rows = sorted(report.seconds.values(), key=lambda row: row.name)
     start = datetime.fromisoformat(rows[0].name)
     seconds = [(datetime.fromisoformat(row.name) - start).total_seconds() for row in rows]
     figure = Figure(figsize=SIZE_INCHES, layout="constrained")
--- a/packages/geraniumlead-client/src/geraniumlead_client/management_command.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/management_command.py
@@ -1,11 +1,12 @@
-"""Define what every command has."""
-
 from abc import ABC, abstractmethod
 from argparse import ArgumentParser, Namespace
 
 
 class ManagementCommand(ABC):
-    """Be one subcommand: its module holds all that is special to it."""
+    """The base class of all subcommands.
+
+    The module of a subcommand holds everything that is specific to it.
+    """
 
     name: str
     help: str
@@ -16,4 +17,4 @@
 
     @abstractmethod
     def run(self, arguments: Namespace) -> int:
-        """Do the work and return the exit code."""
+        """Run the command and return the exit code."""
--- a/packages/geraniumlead-client/src/geraniumlead_client/operators_api.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/operators_api.py
@@ -1,4 +1,4 @@
-"""Ask the operators' interfaces of many instances at once."""
+"""Query the operators' interfaces of many instances at once."""
 
 import asyncio
 from dataclasses import dataclass
@@ -8,14 +8,14 @@
 from msgspec.json import decode
 
 TIMEOUT = ClientTimeout(total=3.0)
-MOST_AT_ONCE = 100
+MAX_CONCURRENT_REQUESTS = 100
 
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """Hold what an instance answered, or why there is no answer.
+    """An instance's answer, or the reason why there is none.
 
-    ``body`` is None when it did not answer or does not know what was asked for.
+    ``body`` is None if the instance did not answer, or answered 404.
     """
 
     address: str
@@ -24,20 +24,20 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Return whether the instance answered at all."""
+        """Return whether the instance answered."""
         return not self.error
 
 
 async def fetch_all(addresses: list[str], path: str) -> list[Reply]:
-    """GET a path from every address, at most MOST_AT_ONCE at a time."""
+    """GET a path from every address, at most ``MAX_CONCURRENT_REQUESTS`` at a time."""
     async with ClientSession(
-        timeout=TIMEOUT, connector=TCPConnector(limit=MOST_AT_ONCE)
+        timeout=TIMEOUT, connector=TCPConnector(limit=MAX_CONCURRENT_REQUESTS)
     ) as session:
         return await asyncio.gather(*(_fetch(session, address, path) for address in addresses))
 
 
-def ask(addresses: list[str], path: str) -> list[Reply]:
-    """Run ``fetch_all`` to its end."""
+def fetch_replies(addresses: list[str], path: str) -> list[Reply]:
+    """Run ``fetch_all`` from synchronous code."""
     return asyncio.run(fetch_all(addresses, path))
 
 
--- a/packages/geraniumlead-client/src/geraniumlead_client/prepared_change.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/prepared_change.py
@@ -1,16 +1,16 @@
-"""Show a document that an operator may publish."""
+"""Print a document that an operator may publish."""
 
 from dataclasses import dataclass
 
-from geraniumlead_client.capacity_left import CapacityLeft
 from geraniumlead_client.exit_codes import FOUND_PROBLEMS, OK
 from geraniumlead_client.printing import print_json
+from geraniumlead_client.remaining_capacity import RemainingCapacity
 from geraniumlead_client.tables import render_table
 
 
 @dataclass(slots=True, frozen=True)
 class PreparedChange:
-    """Hold the document in force at a revision and the one to publish in its place."""
+    """The document in force at a revision and its replacement."""
 
     key: str
     revision: int
@@ -18,8 +18,8 @@
     after: dict
 
 
-def print_change(change: PreparedChange, capacity: CapacityLeft, as_json: bool) -> int:
-    """Print the change and what remains; return the exit code."""
+def print_change(change: PreparedChange, capacity: RemainingCapacity, as_json: bool) -> int:
+    """Print the change and the remaining capacity; return the exit code."""
     if as_json:
         print_json(
             {
--- a/packages/geraniumlead-client/src/geraniumlead_client/printing.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/printing.py
@@ -1,4 +1,4 @@
-"""Print results."""
+"""Print results and errors."""
 
 import sys
 
@@ -11,5 +11,5 @@
 
 
 def print_error(text: str) -> None:
-    """Print a line to standard error."""
+    """Print a message to standard error."""
     print(f"geraniumlead: {text}", file=sys.stderr)
--- a/packages/geraniumlead-client/src/geraniumlead_client/tables.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/tables.py
@@ -1,8 +1,8 @@
-"""Print tables for people."""
+"""Render plain-text tables."""
 
 
 def render_table(headers: list[str], rows: list[list[object]]) -> str:
-    """Return aligned columns; numbers stand right, texts left."""
+    """Return a table with aligned columns; numeric columns are right-aligned."""
     if not rows:
         return "(none)"
     lines = [headers] + [[_render(cell) for cell in row] for row in rows]
--- a/packages/geraniumlead-client/tests/client_tests/builders.py
+++ b/packages/geraniumlead-client/tests/client_tests/builders.py
@@ -1,4 +1,4 @@
-"""Build test data for the command's tests."""
+"""Helpers for the tests of the command."""
 
 import asyncio
 import threading
@@ -12,7 +12,7 @@
 
 
 def build_status(**changes) -> dict:
-    """Return the status of an instance that is well."""
+    """Return the status of a healthy instance."""
     status = {
         "instance_id": "noord-1",
         "data_centre": "noord",
@@ -64,7 +64,7 @@
 
 @contextmanager
 def serve(answers: dict[str, dict]) -> Iterator[str]:
-    """Serve JSON by path on a loopback port; yield the address."""
+    """Serve JSON bodies by path on a loopback port and yield the address."""
     loop = asyncio.new_event_loop()
     started = threading.Event()
     address = []
@@ -95,7 +95,7 @@
 
 
 def run_command(*arguments: str) -> tuple[int, str, str]:
-    """Run the command; return exit code, output and errors."""
+    """Run the command and return its exit code, output and error output."""
     output, errors = StringIO(), StringIO()
     with redirect_stdout(output), redirect_stderr(errors):
         code = main(list(arguments))
--- a/packages/geraniumlead-client/tests/client_tests/commands/test_changes.py
+++ b/packages/geraniumlead-client/tests/client_tests/commands/test_changes.py
@@ -1,10 +1,10 @@
-"""Test the commands that prepare a document: data-centre and instance."""
+"""Tests of the commands that prepare a document: data-centre and instance."""
 
 from json import loads
 from unittest import TestCase
 
 from client_tests.builders import build_documents, build_status, run_command, serve
-from geraniumlead_client.capacity_left import judge_capacity
+from geraniumlead_client.remaining_capacity import compute_remaining_capacity
 
 
 class ChangeCommandTests(TestCase):
@@ -16,7 +16,7 @@
         with serve(answers) as address:
             return run_command(*arguments, "--json", "--address", address)
 
-    def test_prepares_taking_a_data_centre_out(self):
+    def test_prepares_to_take_a_data_centre_out(self):
         code, output, _ = self.run_change("data-centre", "out", "zuid")
         change = loads(output)
         self.assertEqual(code, 0, output)
@@ -24,11 +24,11 @@
         self.assertEqual(change["document"]["state"], "out")
         self.assertEqual(change["services"]["ledger"]["slots"], 4)
 
-    def test_warns_when_the_rest_cannot_carry_the_load(self):
-        """An operator wants to take a data centre out at the busiest hour.
+    def test_warns_when_the_remaining_slots_cannot_carry_the_load(self):
+        """The change is reported as a problem with exit code 1, before it causes queueing.
 
-        Both data centres have four slots, and six calls are in flight: after the move every
-        caller would wait for a slot. The command says so and exits 1.
+        Each data centre has four slots and six calls are in flight, so without one of them
+        callers would wait for a slot.
         """
         status = build_status(services={"ledger": {"in_flight": 6, "waiting": 0}})
         code, output, _ = self.run_change("data-centre", "out", "zuid", status=status)
@@ -49,7 +49,7 @@
         code, output, _ = self.run_change("data-centre", "back", "zuid", documents=documents)
         self.assertEqual((code, loads(output)["document"]["state"]), (0, "in"))
 
-    def test_prepares_taking_an_instance_out(self):
+    def test_prepares_to_take_an_instance_out(self):
         code, output, _ = self.run_change("instance", "out", "zuid-entry-1")
         states = [item.get("state") for item in loads(output)["document"]["instances"]]
         self.assertEqual((code, states), (0, [None, "leaving"]))
@@ -59,11 +59,11 @@
         self.assertEqual(self.run_change("instance", "out", "oost-1")[0], 3)
 
 
-class JudgeCapacityTests(TestCase):
-    def test_a_data_centre_without_a_live_instance_is_named(self):
+class ComputeRemainingCapacityTests(TestCase):
+    def test_reports_a_data_centre_without_a_live_instance(self):
         documents = build_documents()
         for entry in documents["geraniumlead/instances/zuid"]["instances"]:
             entry["state"] = "leaving"
         self.assertEqual(
-            judge_capacity(documents, {}).problems, ["zuid would have no live instance"]
+            compute_remaining_capacity(documents, {}).problems, ["zuid would have no live instance"]
         )
--- a/packages/geraniumlead-client/tests/client_tests/commands/test_check.py
+++ b/packages/geraniumlead-client/tests/client_tests/commands/test_check.py
@@ -1,5 +1,3 @@
-"""Test the command check."""
-
 from json import loads
 from pathlib import Path
 from tempfile import TemporaryDirectory
@@ -16,12 +14,12 @@
         self.addCleanup(folder.cleanup)
         self.file = Path(folder.name) / "contract.json"
 
-    def test_examples_are_free_of_errors(self):
+    def test_examples_have_no_errors(self):
         files = [str(path) for path in EXAMPLES.rglob("*.json")]
         code, output, _ = run_command("check", "--strict", *files)
         self.assertEqual(code, 0, output)
 
-    def test_names_every_error_with_id_and_path(self):
+    def test_reports_every_error_with_id_and_path(self):
         self.file.write_text('{"customer": "Not A Name", "rate_per_s": 0, "colour": 1}')
         code, output, _ = run_command("check", str(self.file))
         self.assertEqual(code, 1)
--- a/packages/geraniumlead-client/tests/client_tests/commands/test_contracts.py
+++ b/packages/geraniumlead-client/tests/client_tests/commands/test_contracts.py
@@ -1,5 +1,3 @@
-"""Test the command contracts."""
-
 from unittest import TestCase
 
 from msgspec import to_builtins
@@ -31,5 +29,5 @@
         self.assertIn("revision 9", output)
         self.assertRegex(output, r"acme +lookup +x +0 +80 +100%")
 
-    def test_nobody_answers(self):
+    def test_no_instance_answers(self):
         self.assertEqual(run_command("contracts", "--address", "127.0.0.1:1")[0], 4)
--- a/packages/geraniumlead-client/tests/client_tests/commands/test_explain.py
+++ b/packages/geraniumlead-client/tests/client_tests/commands/test_explain.py
@@ -1,14 +1,12 @@
-"""Test the command explain."""
-
 from unittest import TestCase
 
 from client_tests.builders import run_command, serve
 from geraniumlead.requests import RefusalReason
-from geraniumlead_client.explanations import REFUSALS
+from geraniumlead_client.explanations import REFUSAL_EXPLANATIONS
 
 
 def build_request(**changes) -> dict:
-    """Return what an instance remembers of a refused request."""
+    """Return an instance's record of a refused request."""
     request = {
         "request_id": "mine.1",
         "contract": "acme",
@@ -34,7 +32,7 @@
         with serve({"/v1/requests/mine": {"requests": [request]}}) as address:
             return run_command("explain", "mine", "--address", address, *arguments)
 
-    def test_names_the_limit_that_refused(self):
+    def test_names_the_limit_that_was_exceeded(self):
         code, output, _ = self.explain(build_request())
         self.assertEqual(code, 0)
         self.assertIn("rate_per_s and burst_requests of the contract were used up", output)
@@ -53,10 +51,10 @@
         self.assertIn("sent to ledger-1 through noord-2", output)
         self.assertIn("missing shards: 1 deadline", output)
 
-    def test_tells_unknown_from_unreachable(self):
+    def test_distinguishes_unknown_from_unreachable(self):
         with serve({}) as address:
             self.assertEqual(run_command("explain", "x", "--address", address)[0], 3)
         self.assertEqual(run_command("explain", "x", "--address", "127.0.0.1:1")[0], 4)
 
     def test_every_reason_has_an_explanation(self):
-        self.assertEqual(set(REFUSALS), {reason.value for reason in RefusalReason})
+        self.assertEqual(set(REFUSAL_EXPLANATIONS), {reason.value for reason in RefusalReason})
--- a/packages/geraniumlead-client/tests/client_tests/commands/test_load.py
+++ b/packages/geraniumlead-client/tests/client_tests/commands/test_load.py
@@ -1,5 +1,3 @@
-"""Test the command load."""
-
 from os import environ
 from unittest import TestCase
 from unittest.mock import patch
@@ -20,13 +18,13 @@
         self.assertEqual(code, 0)
         self.assertRegex(output, r"whole +5")
 
-    def test_fails_when_nobody_answers(self):
+    def test_fails_when_no_instance_answers(self):
         with patch.dict(environ, {CREDENTIAL_VARIABLE: "secret"}):
             code, output, _ = run_command(*ARGUMENTS, "--address", "127.0.0.1:1")
         self.assertEqual(code, 1)
         self.assertRegex(output, r"unanswered +5")
 
-    def test_needs_a_credential_and_keeps_its_bounds(self):
+    def test_requires_a_credential_and_enforces_its_limits(self):
         with patch.dict(environ, {CREDENTIAL_VARIABLE: ""}):
             self.assertEqual(run_command(*ARGUMENTS, "--address", "127.0.0.1:1")[0], 2)
         with patch.dict(environ, {CREDENTIAL_VARIABLE: "secret"}):
--- a/packages/geraniumlead-client/tests/client_tests/commands/test_losses.py
+++ b/packages/geraniumlead-client/tests/client_tests/commands/test_losses.py
@@ -1,5 +1,3 @@
-"""Test the command losses."""
-
 from json import dumps, loads
 from pathlib import Path
 from tempfile import TemporaryDirectory
@@ -67,15 +65,15 @@
         found = self.causes(line, arguments=("--late-share", "0.5"))
         self.assertEqual({"late: waited for a place": 0.5}, found)
 
-    def test_refusals_and_failures_are_told_apart(self):
+    def test_refusals_and_failures_are_distinguished(self):
         found = self.causes(
             build_line(1, status=503, reason="no_upstream", answered=0),
             build_line(1, status=504, reason="timeout", answered=3),
         )
         self.assertEqual({"refused: no_upstream": 1.0, "failed: timeout": 1.0}, found)
 
-    def test_what_is_owed_to_nobody_is_left_out(self):
-        """Lines of peers tell of a caller's request a second time; others have no caller left."""
+    def test_requests_without_a_waiting_caller_are_left_out(self):
+        """A peer logs a caller's request a second time; other lines have no caller any more."""
         document = self.run_losses(
             build_line(1),
             build_line(1, instance="entry-2", reason="for entry-1", status=None),
@@ -95,7 +93,7 @@
         self.assertEqual([1, 2], [row["asked"] for row in document["data_centres"]])
         self.assertEqual(["entry-1", "entry-2"], [row["name"] for row in document["instances"]])
 
-    def test_second_sendings_and_what_is_not_in_the_logs_are_counted(self):
+    def test_hedges_and_lines_left_out_of_the_logs_are_counted(self):
         steps = [
             step("again: late", upstream="i-2"),
             step("answered after 30 ms", upstream="i-2"),
@@ -105,12 +103,12 @@
         self.assertEqual({"sent": 2, "answered": 1}, document["second_sendings"])
         self.assertEqual(4, document["not_logged"])
 
-    def test_a_picture_is_drawn(self):
+    def test_a_plot_is_drawn(self):
         path = self.folder / "losses.png"
         self.run_losses(build_line(1), build_line(3), arguments=("--plot", str(path)))
         self.assertEqual(b"\x89PNG", path.read_bytes()[:4])
 
-    def test_a_table_is_printed_for_people(self):
+    def test_prints_a_table_without_json(self):
         path = self.folder / "1.log"
         path.write_text(f"12.5 entry-1 {build_line(1, status=504, reason='timeout')}\nnoise\n")
         code, output, errors = run_command("losses", str(path))
@@ -118,7 +116,7 @@
         self.assertIn("failed: timeout", output)
         self.assertIn("1 lines are damaged", errors)
 
-    def test_logs_without_requests_and_bad_arguments_are_said_so(self):
+    def test_logs_without_requests_and_bad_arguments_are_reported(self):
         path = self.folder / "1.log"
         path.write_text("")
         self.assertEqual(3, run_command("losses", str(path))[0])
--- a/packages/geraniumlead-client/tests/client_tests/commands/test_schema.py
+++ b/packages/geraniumlead-client/tests/client_tests/commands/test_schema.py
@@ -1,5 +1,3 @@
-"""Test that the written schemas are current."""
-
 from json import loads
 from pathlib import Path
 from unittest import TestCase
@@ -13,7 +11,7 @@
 
 class SchemaCommandTests(TestCase):
     def test_committed_schemas_are_current(self):
-        """Write them again with: geraniumlead schema --folder docs/reference/schemas."""
+        """Update them with ``geraniumlead schema --folder docs/reference/schemas``."""
         written = {path.stem: path.read_bytes() for path in SCHEMAS.glob("*.json")}
         self.assertEqual(written, {name: render_schema(name) for name in SCHEMA_NAMES})
 
--- a/packages/geraniumlead-client/tests/client_tests/commands/test_status.py
+++ b/packages/geraniumlead-client/tests/client_tests/commands/test_status.py
@@ -1,11 +1,9 @@
-"""Test the command status."""
-
 from json import loads
 from unittest import TestCase
 
 from client_tests.builders import build_status, run_command, serve
 
-NOBODY = "127.0.0.1:1"
+UNREACHABLE_ADDRESS = "127.0.0.1:1"
 
 
 class StatusCommandTests(TestCase):
@@ -13,25 +11,25 @@
         with serve({"/v1/status": status}) as address:
             return run_command("status", "--address", address, *arguments)
 
-    def test_a_fleet_that_is_well(self):
+    def test_a_healthy_fleet(self):
         code, output, _ = self.run_status(build_status())
         self.assertEqual(code, 0, output)
         self.assertIn("noord-1", output)
 
-    def test_an_instance_that_does_not_answer_is_shown_as_such(self):
-        code, output, _ = self.run_status(build_status(), "--address", NOBODY)
+    def test_an_instance_that_does_not_answer_is_shown_as_unreachable(self):
+        code, output, _ = self.run_status(build_status(), "--address", UNREACHABLE_ADDRESS)
         self.assertEqual(code, 1)
         self.assertIn("unreachable", output)
-        self.assertIn(f"! {NOBODY} does not answer", output)
+        self.assertIn(f"! {UNREACHABLE_ADDRESS} does not answer", output)
 
-    def test_nobody_answers(self):
-        code, _, _ = run_command("status", "--address", NOBODY)
+    def test_no_instance_answers(self):
+        code, _, _ = run_command("status", "--address", UNREACHABLE_ADDRESS)
         self.assertEqual(code, 4)
 
-    def test_needs_an_address(self):
+    def test_requires_an_address(self):
         self.assertEqual(run_command("status")[0], 2)
 
-    def test_says_why_an_upstream_is_not_in_full_use(self):
+    def test_explains_why_an_upstream_is_not_fully_used(self):
         found = {
             "service": "ledger",
             "data_centre": "noord",
@@ -43,7 +41,7 @@
         self.assertIn("cold: showed a sign of cold start", output)
         self.assertIn("suspected: answers late", output)
 
-    def test_counts_upstreams_that_only_warm_up(self):
+    def test_counts_upstreams_that_are_only_warming(self):
         found = {
             "service": "ledger",
             "data_centre": "noord",
@@ -57,7 +55,7 @@
         self.assertRegex(output, r"ledger +warming +2")
         self.assertIn("ledger-1", self.run_status(status, "--all")[1])
 
-    def test_names_refused_documents_and_old_configuration(self):
+    def test_reports_refused_documents_and_old_configuration(self):
         status = build_status(
             refused_documents={"geraniumlead/contracts/acme": "GL-C004"}, platform_age_ms=90_000.0
         )
@@ -67,12 +65,12 @@
         self.assertIn("noord-1 refused geraniumlead/contracts/acme: GL-C004", problems)
         self.assertIn("noord-1 has not heard from the platform lately", problems)
 
-    def test_documents_that_contradict_each_other_are_named(self):
+    def test_reports_documents_that_contradict_each_other(self):
         code, output, _ = self.run_status(build_status(ambiguous_names=["acme", "beta"]))
         self.assertEqual(code, 1)
         self.assertIn("contradict each other: acme, beta", output)
 
-    def test_instances_that_disagree_are_named(self):
+    def test_reports_instances_that_disagree(self):
         with (
             serve({"/v1/status": build_status()}) as first,
             serve({"/v1/status": build_status(revision=9)}) as second,
--- a/packages/geraniumlead-client/tests/client_tests/commands/test_trace.py
+++ b/packages/geraniumlead-client/tests/client_tests/commands/test_trace.py
@@ -1,5 +1,3 @@
-"""Test the command trace."""
-
 from io import BytesIO, TextIOWrapper
 from json import dumps, loads
 from pathlib import Path
@@ -46,7 +44,7 @@
         path.write_text("\n".join(lines) + "\n")
         return str(path)
 
-    def test_the_lines_of_all_instances_become_one_story(self):
+    def test_the_lines_of_all_instances_become_one_trace(self):
         first = self.write("1.log", LATER, OTHER, CALLED, f"12.5 entry-1 {KNOWN}")
         second = self.write("2.log", PEER)
         code, output, errors = run_command("trace", "r-1", "--json", first, second)
@@ -61,18 +59,18 @@
             ("02.300", "entry-1", "ended"),
         ]
         self.assertEqual(expected, found)
-        belief = {"known": "upstream_entered", "age_s": 1.3, "ready": True}
-        self.assertEqual(belief, steps[2]["inputs"])
+        observed_state = {"known": "upstream_entered", "age_s": 1.3, "ready": True}
+        self.assertEqual(observed_state, steps[2]["inputs"])
         ended = steps[4]["inputs"]
         self.assertEqual((7, -12.0), (ended["version"], ended["goal_left_ms"]))
 
-    def test_people_get_a_table(self):
+    def test_prints_a_table_without_json(self):
         code, output, _ = run_command("trace", "r-1", self.write("1.log", CALLED, KNOWN))
         self.assertEqual(0, code)
         self.assertIn("10:00:02.090", output)
         self.assertIn("missing=shard-2", output)
 
-    def test_damaged_and_foreign_lines_are_said_and_skipped(self):
+    def test_damaged_and_foreign_lines_are_skipped_and_reported(self):
         name = self.write("1.log", "not ours", '{"event": 1}', CALLED[:40], "", CALLED)
         code, output, errors = run_command("trace", "r-1", name)
         self.assertEqual(0, code)
@@ -80,7 +78,7 @@
         self.assertIn("3 lines", errors)
         self.assertIn("1.log:1", errors)
 
-    def test_an_unknown_id_and_an_unreadable_file_have_codes_of_their_own(self):
+    def test_an_unknown_id_and_an_unreadable_file_have_their_own_exit_codes(self):
         name = self.write("1.log", CALLED)
         self.assertEqual(3, run_command("trace", "r-9", name)[0])
         code, output, errors = run_command("trace", "r-1", name, str(self.folder / "none.log"))
