--- a/packages/geraniumlead-server/tests/server_tests/platform_client/test_client.py
+++ b/packages/geraniumlead-server/tests/server_tests/platform_client/test_client.py
@@ -115,7 +115,7 @@
         key = "geraniumlead/instances/noord"
         self.store.put(key, b"old")
         self.platform.faults = PlatformFaults(lists_lag=True)
-        self.platform._lists_at = self.store.revision
+        self.platform._lists_revision = self.store.revision
         self.store.put(key, b"new")
         self.client.read_once(1)
         await self.wait_for(lambda: self.values())
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/configuration/process_spread.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/configuration/process_spread.py
@@ -11,7 +11,7 @@
 from geraniumlead.documents import DocumentKind, document_key
 from geraniumlead_standins.bench.configuration.spread_row import SpreadRow
 from geraniumlead_standins.demo.free_ports import find_base_port
-from geraniumlead_standins.demo.process_group import ProcessGroup
+from geraniumlead_standins.demo.process_manager import ProcessManager
 from geraniumlead_standins.deployments import (
     AddressPlan,
     build_documents,
@@ -39,7 +39,7 @@
         self._addresses = AddressPlan.from_base_port(deployment, base_port)
         self._documents = build_documents(deployment, self._addresses)
         self._settings = build_instance_settings(deployment, self._addresses)
-        self._processes = ProcessGroup(folder)
+        self._processes = ProcessManager(folder)
         self._alive = list(self._settings)
         self._serial = 0
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/demo/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Run a whole deployment on loopback for a while and judge what its callers received."""
+"""Runs a whole deployment on loopback for a limited time and checks the answers of its callers."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/demo/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/demo/__main__.py
@@ -7,7 +7,7 @@
 
 from geraniumlead_standins.demo.demo_plan import DemoPlan
 from geraniumlead_standins.demo.free_ports import find_base_port
-from geraniumlead_standins.demo.run_to_end import run_to_end
+from geraniumlead_standins.demo.run_cancellable import run_cancellable
 from geraniumlead_standins.demo.runner import DemoRunner
 from geraniumlead_standins.deployments import DEPLOYMENTS, AddressPlan
 
@@ -19,14 +19,14 @@
     """Return the parser of the command line."""
     parser = argparse.ArgumentParser(prog="make demo", description=__doc__)
     parser.add_argument("--deployment", choices=list(DEPLOYMENTS), default="van-dijk")
-    parser.add_argument("--data-centres", type=int, default=3, help="2 suit a small machine")
+    parser.add_argument("--data-centres", type=int, default=3, help="use 2 on a small machine")
     parser.add_argument("--duration-s", type=float, default=20.0)
     parser.add_argument("--load-factor", type=float, default=1.0)
     parser.add_argument(
         "--distinct-queries",
         type=int,
         default=200,
-        help="different lookups of each class; 0 makes every one new, which needs a canary each",
+        help="different lookups of each class; with 0 every one is new and needs a canary",
     )
     parser.add_argument("--first-port", type=int, default=FIRST_PORT)
     parser.add_argument("--seed", type=int, default=1)
@@ -35,7 +35,7 @@
 
 
 def build_plan(arguments: argparse.Namespace) -> DemoPlan:
-    """Return the plan of one run, in a folder of its own."""
+    """Return the plan of a run and create its folder."""
     deployment = DEPLOYMENTS[arguments.deployment]().with_data_centres(arguments.data_centres)
     needed = AddressPlan.from_base_port(deployment, 1).port_count
     folder = FOLDER / datetime.now().strftime("%Y%m%d-%H%M%S-%f")
@@ -53,9 +53,9 @@
 
 
 def main() -> int:
-    """Run; exit 1 when something that must always hold did not."""
+    """Run the demo; return 1 if a guarantee was violated."""
     plan = build_plan(build_parser().parse_args())
-    verdict = run_to_end(DemoRunner(plan).run())
+    verdict = run_cancellable(DemoRunner(plan).run())
     for violation in verdict.violations:
         print(f"VIOLATED: {violation}")
     return 1 if verdict.violations else 0
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/demo/class_loads.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/demo/class_loads.py
@@ -1,4 +1,4 @@
-"""Choose how much callers of a deployment send."""
+"""The load that the callers of a deployment send in a demo."""
 
 from geraniumlead_standins.deployments import Deployment
 from geraniumlead_standins.load.load_plan import ClassLoad
@@ -14,7 +14,7 @@
     "parent-portal": 20.0,
     "district-reporting": 2.0,
 }
-"""Rates that leave most of a small machine idle; ``--load-factor`` scales them."""
+"""Rates at which a small machine stays mostly idle; ``--load-factor`` scales them."""
 
 REPEAT_SHARE = 0.3
 
@@ -22,7 +22,7 @@
 def build_class_loads(
     deployment: Deployment, factor: float, distinct_queries: int
 ) -> list[ClassLoad]:
-    """Return one load for each class of each contract."""
+    """Return a load for each class of each contract."""
     return [
         ClassLoad(
             customer=contract.customer,
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/demo/demo_plan.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/demo/demo_plan.py
@@ -1,5 +1,3 @@
-"""Define what a demo runs and how it disturbs it."""
-
 from dataclasses import dataclass
 from pathlib import Path
 
@@ -8,11 +6,11 @@
 
 @dataclass(slots=True, frozen=True)
 class DemoPlan:
-    """Hold the deployment, the time of the run and the seed.
+    """The deployment that a demo runs, its duration, its seed and the process it kills.
 
-    For ``start_s`` before ``duration_s`` callers send while no upstream is proven warm yet;
-    these requests are judged like all others and counted in a table of their own.
-    ``kill`` is None, instance, upstreams or platform: which process is killed without notice.
+    Callers send for ``start_s`` before ``duration_s`` begins, while no upstream is proven warm.
+    Those requests are checked like all others but counted in a separate table. ``kill`` selects
+    the process that is killed without notice: None, instance, upstreams or platform.
     """
 
     deployment: Deployment
@@ -27,5 +25,5 @@
 
     @property
     def moved_data_centre(self) -> str:
-        """Return the data centre that is taken out and brought back."""
+        """Return the data centre that is taken out of service and brought back."""
         return self.deployment.data_centres[-1]
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/demo/process_group.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/demo/process_manager.py
@@ -1,5 +1,3 @@
-"""Start processes and end exactly those."""
-
 import asyncio
 import os
 import signal
@@ -7,14 +5,13 @@
 from asyncio.subprocess import Process
 from pathlib import Path
 
-STOP_BOUND_S = 12.0
+STOP_TIMEOUT_S = 12.0
 
 
-class ProcessGroup:
-    """Hold the processes that this run started, by name.
+class ProcessManager:
+    """The named processes of one run; it stops or kills only processes that it started.
 
-    Only the demo, a tool of development, starts processes; the daemon and the operators'
-    command never do.
+    Only development tools start processes; the daemon and the operators' command never do.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -23,7 +20,10 @@
         self.killed: set[str] = set()
 
     async def start(self, name: str, module: str, *arguments: str) -> Process:
-        """Start a module of this Python; what it prints goes to a file of its name."""
+        """Run a module with this Python interpreter.
+
+        Its output and its log are written to files named after the process.
+        """
         with (
             (self._folder / f"{name}.out").open("wb") as output,
             (self._folder / f"{name}.log").open("wb") as log,
@@ -35,16 +35,16 @@
         return process
 
     def read_output(self, name: str) -> bytes:
-        """Return what a process printed."""
+        """Return the standard output of a process."""
         return (self._folder / f"{name}.out").read_bytes()
 
     def kill(self, name: str) -> None:
-        """End a process without notice."""
+        """Kill a process with SIGKILL."""
         self.killed.add(name)
         os.kill(self._processes[name].pid, signal.SIGKILL)
 
-    def find_ended(self) -> list[str]:
-        """Return the names of processes that ended though nobody killed them."""
+    def find_unexpected_exits(self) -> list[str]:
+        """Return the names of processes that exited without having been killed by this run."""
         return [
             name
             for name, process in self._processes.items()
@@ -52,24 +52,24 @@
         ]
 
     async def stop(self, names: list[str]) -> list[str]:
-        """Ask processes to stop and wait; return those that had to be killed."""
+        """Terminate processes and wait; return the names of those that had to be killed."""
         for name in names:
             if self._processes[name].returncode is None:
                 self._processes[name].terminate()
-        stuck = []
+        killed_names = []
         for name in names:
             try:
-                await asyncio.wait_for(self._processes[name].wait(), STOP_BOUND_S)
+                await asyncio.wait_for(self._processes[name].wait(), STOP_TIMEOUT_S)
             except TimeoutError:
-                stuck.append(name)
+                killed_names.append(name)
                 self._processes[name].kill()
                 await self._processes[name].wait()
-        return stuck
+        return killed_names
 
     async def stop_all(self) -> list[str]:
-        """Stop everything that still runs."""
+        """Stop all processes that are still running."""
         return await self.stop(list(self._processes))
 
     def returncode(self, name: str) -> int | None:
-        """Return how a process ended."""
+        """Return the exit code of a process, or None while it runs."""
         return self._processes[name].returncode
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/demo/runner.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/demo/runner.py
@@ -1,5 +1,3 @@
-"""Run a demo from its first process to its last."""
-
 import asyncio
 import time
 from dataclasses import asdict
@@ -12,10 +10,10 @@
 from geraniumlead_standins.demo.class_loads import build_class_loads
 from geraniumlead_standins.demo.demo_plan import DemoPlan
 from geraniumlead_standins.demo.extra_load import measure_extra_load
-from geraniumlead_standins.demo.process_group import ProcessGroup
+from geraniumlead_standins.demo.process_manager import ProcessManager
 from geraniumlead_standins.demo.table import render_table
 from geraniumlead_standins.demo.timeline import Timeline
-from geraniumlead_standins.demo.verdict import NANOSECONDS_PER_S, Verdict, judge, read_lines
+from geraniumlead_standins.demo.verdict import NANOSECONDS_PER_S, Verdict, evaluate_run, read_lines
 from geraniumlead_standins.deployments import (
     AddressPlan,
     build_documents,
@@ -26,36 +24,41 @@
 from geraniumlead_standins.load.sent_request import SentRequest
 from geraniumlead_standins.load.summary import summarise
 
-START_BOUND_S = 60.0
-LOAD_SLACK_S = 45.0
+START_TIMEOUT_S = 60.0
+LOAD_TIMEOUT_MARGIN_S = 45.0
 CALLERS = "callers"
 PLATFORM = "platform"
 
 
 class DemoRunner:
-    """Start a deployment, load and disturb it, stop it and judge the run."""
+    """One run of a demo.
+
+    It starts a deployment, sends load, injects faults, stops the deployment and checks the run.
+    """
 
     def __init__(self, plan: DemoPlan) -> None:
         self._plan = plan
         self._deployment = plan.deployment
         self._addresses = AddressPlan.from_base_port(plan.deployment, plan.base_port)
-        self._processes = ProcessGroup(plan.folder)
+        self._processes = ProcessManager(plan.folder)
         self._timeline = Timeline(plan, self._addresses, self._processes)
         self._violations: list[str] = []
 
     async def run(self) -> Verdict:
-        """Run the demo; no process of it is left, whatever happens."""
+        """Run the demo and stop all of its processes, even after an error."""
         try:
             await self._start()
             await self._load()
             await self._stop_gracefully()
         finally:
             await self._processes.stop_all()
-        return self._judge()
+        return self._evaluate()
 
     async def _start(self) -> None:
         started_s = time.monotonic()
-        documents = self._write("documents", build_documents(self._deployment, self._addresses))
+        documents = self._write_json(
+            "documents", build_documents(self._deployment, self._addresses)
+        )
         await self._processes.start(
             PLATFORM,
             "geraniumlead_standins.platform",
@@ -63,25 +66,29 @@
         )
         for name in self._deployment.data_centres:
             plan = build_upstream_plan(
-                self._deployment, self._addresses, name, self._plan.seed, str(self._history(name))
+                self._deployment,
+                self._addresses,
+                name,
+                self._plan.seed,
+                str(self._history_path(name)),
             )
-            path = self._write(f"upstreams-{name}", plan)
+            path = self._write_json(f"upstreams-{name}", plan)
             await self._processes.start(
                 f"upstreams-{name}", "geraniumlead_standins.upstream", "--plan", str(path)
             )
         settings = build_instance_settings(self._deployment, self._addresses)
         for name, item in settings.items():
-            path = self._write(name, item)
+            path = self._write_json(name, item)
             await self._processes.start(name, "geraniumlead_server.main", "--settings", str(path))
         await self._wait_until_ready()
         print(f"{len(settings)} instances ready after {time.monotonic() - started_s:.1f} s")
 
     async def _wait_until_ready(self) -> None:
         addresses = [callers for callers, _, _ in self._addresses.instances.values()]
-        async with asyncio.timeout(START_BOUND_S), ClientSession() as session:
+        async with asyncio.timeout(START_TIMEOUT_S), ClientSession() as session:
             for address in [*addresses, *self._addresses.controls.values()]:
-                while not await _is_up(session, address):
-                    if ended := self._processes.find_ended():
+                while not await _is_listening(session, address):
+                    if ended := self._processes.find_unexpected_exits():
                         raise RuntimeError(f"ended while starting: {', '.join(ended)}")
                     await asyncio.sleep(0.1)
 
@@ -93,48 +100,48 @@
             classes=build_class_loads(
                 self._deployment, self._plan.load_factor, self._plan.distinct_queries
             ),
-            history=str(self._history(CALLERS)),
+            history=str(self._history_path(CALLERS)),
         )
-        path = self._write("load", plan)
+        path = self._write_json("load", plan)
         callers = await self._processes.start(
             CALLERS, "geraniumlead_standins.load", "--plan", str(path)
         )
         timeline = asyncio.create_task(self._timeline.run())
         try:
-            await asyncio.wait_for(callers.wait(), plan.duration_s + LOAD_SLACK_S)
+            await asyncio.wait_for(callers.wait(), plan.duration_s + LOAD_TIMEOUT_MARGIN_S)
         except TimeoutError:
-            self._violations.append("the callers hang")
+            self._violations.append("the callers did not finish in time")
         if callers.returncode:
             self._violations.append(f"the callers ended with {callers.returncode}")
         timeline.cancel()
 
     async def _stop_gracefully(self) -> None:
-        ended = [name for name in self._processes.find_ended() if name != CALLERS]
-        self._violations += [f"{name} ended by itself" for name in ended]
+        ended = [name for name in self._processes.find_unexpected_exits() if name != CALLERS]
+        self._violations += [f"{name} exited unexpectedly" for name in ended]
         instances = list(self._addresses.instances)
         for name in await self._processes.stop(instances):
-            self._violations.append(f"{name} did not stop when asked to")
+            self._violations.append(f"{name} did not stop after SIGTERM")
         for name in instances:
             if name not in self._processes.killed and self._processes.returncode(name) != 0:
                 code = self._processes.returncode(name)
                 self._violations.append(f"{name} ended with {code} after a planned stop")
 
-    def _judge(self) -> Verdict:
+    def _evaluate(self) -> Verdict:
         requests = [
             convert(line, SentRequest)
-            for line in read_lines(self._history(CALLERS))
+            for line in read_lines(self._history_path(CALLERS))
             if line["event"] == "request"
         ]
         upstream_lines = [
             line
             for name in self._deployment.data_centres
-            for line in read_lines(self._history(name))
+            for line in read_lines(self._history_path(name))
         ]
         moments_ns = self._timeline.moments_ns
-        verdict = judge(requests, upstream_lines, self._plan.moved_data_centre, moments_ns)
+        verdict = evaluate_run(requests, upstream_lines, self._plan.moved_data_centre, moments_ns)
         verdict.violations += self._violations
         if not requests:
-            verdict.violations.append("nothing was sent")
+            verdict.violations.append("no request was sent")
         self._report(requests, upstream_lines, verdict)
         return verdict
 
@@ -165,17 +172,17 @@
         print(f"bookings run: {verdict.bookings_run}, doubled: {verdict.doubled_bookings}")
         print(f"report: {path}")
 
-    def _history(self, name: str) -> Path:
+    def _history_path(self, name: str) -> Path:
         return self._plan.folder / f"{name}.history.jsonl"
 
-    def _write(self, name: str, value: Struct | dict) -> Path:
+    def _write_json(self, name: str, value: Struct | dict) -> Path:
         path = self._plan.folder / f"{name}.json"
         path.write_bytes(format(encode(value), indent=2))
         return path
 
 
-async def _is_up(session: ClientSession, address: str) -> bool:
-    # The control of a stand-in has no such path; any answer shows that it listens.
+async def _is_listening(session: ClientSession, address: str) -> bool:
+    # The control server of a stand-in has no such path; a 404 shows that it is listening.
     try:
         async with session.get(
             f"http://{address}/ready", timeout=ClientTimeout(total=1.0)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/demo/table.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/demo/table.py
@@ -1,4 +1,4 @@
-"""Print what callers received."""
+"""Render the outcomes of callers' requests as a table."""
 
 from geraniumlead_standins.load.summary import ClassSummary
 
@@ -17,7 +17,7 @@
 
 
 def render_table(summaries: list[ClassSummary], extra_load: dict[str, float]) -> str:
-    """Return a table with a line for each class."""
+    """Return a table with one row for each class."""
     header = [title for title, _ in _COLUMNS] + ["extra load"]
     rows = [header]
     for summary in summaries:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/demo/verdict.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/demo/verdict.py
@@ -1,4 +1,4 @@
-"""Judge a run from its histories."""
+"""Check a run by its histories."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -8,15 +8,15 @@
 
 from geraniumlead_standins.load.sent_request import SentRequest
 
-OUT_IN_FORCE_S = 3.0
-"""The time after which a data centre that was taken out may receive nothing new."""
+REMOVAL_GRACE_S = 3.0
+"""The time after which a data centre that was taken out must receive no new subqueries."""
 
 NANOSECONDS_PER_S = 1_000_000_000
 
 
 @dataclass(slots=True)
 class Verdict:
-    """Count what must hold; ``violations`` is empty after a good run."""
+    """The counts of a run that are checked; ``violations`` is empty if all checks passed."""
 
     bookings_run: int = 0
     doubled_bookings: int = 0
@@ -31,7 +31,10 @@
 
 
 def read_lines(path: Path) -> list[dict]:
-    """Return the lines of a history; a killed process may have left half a line."""
+    """Return the complete lines of a history.
+
+    A killed process may have left an incomplete last line.
+    """
     if not path.exists():
         return []
     lines = []
@@ -41,18 +44,21 @@
     return lines
 
 
-def judge(
-    requests: list[SentRequest], upstream_lines: list[dict], moved: str, moments_ns: dict[str, int]
+def evaluate_run(
+    requests: list[SentRequest],
+    upstream_lines: list[dict],
+    moved_data_centre: str,
+    moments_ns: dict[str, int],
 ) -> Verdict:
-    """Check a run's bookings, answers and the data centre that was out."""
+    """Check the bookings and answers of a run, and the data centre that was taken out."""
     verdict = Verdict()
-    _judge_bookings(verdict, requests, upstream_lines)
-    _judge_answers(verdict, requests)
-    _judge_move(verdict, upstream_lines, moved, moments_ns)
-    for name, what in (
+    _check_bookings(verdict, requests, upstream_lines)
+    _check_answers(verdict, requests)
+    _check_removed_data_centre(verdict, upstream_lines, moved_data_centre, moments_ns)
+    for name, description in (
         ("doubled_bookings", "bookings ran twice"),
         ("lost_bookings", "bookings were answered but did not run"),
-        ("ran_though_refused", "bookings ran though their caller was told: not run"),
+        ("ran_though_refused", "bookings ran although their caller was told that they had not run"),
         ("work_while_out", "subqueries reached a data centre that was out"),
         ("unanswered", "requests got no answer"),
         ("late", "requests were answered after their deadline"),
@@ -60,11 +66,11 @@
     ):
         count = getattr(verdict, name)
         if count:
-            verdict.violations.append(f"{count} {what}")
+            verdict.violations.append(f"{count} {description}")
     return verdict
 
 
-def _judge_bookings(
+def _check_bookings(
     verdict: Verdict, requests: list[SentRequest], upstream_lines: list[dict]
 ) -> None:
     # Only bookings carry a token in their query.
@@ -82,22 +88,23 @@
             verdict.ran_though_refused += ran[sent.name] > 0
 
 
-def _judge_answers(verdict: Verdict, requests: list[SentRequest]) -> None:
+def _check_answers(verdict: Verdict, requests: list[SentRequest]) -> None:
     verdict.unanswered = sum(sent.outcome in ("unanswered", "malformed") for sent in requests)
     verdict.late = sum(sent.is_late for sent in requests)
     verdict.untrue_answers = sum(bool(sent.faults) for sent in requests)
 
 
-def _judge_move(
-    verdict: Verdict, upstream_lines: list[dict], moved: str, moments_ns: dict[str, int]
+def _check_removed_data_centre(
+    verdict: Verdict, upstream_lines: list[dict], moved_data_centre: str, moments_ns: dict[str, int]
 ) -> None:
     received = [line for line in upstream_lines if line["event"] == "received"]
     verdict.subqueries = len(received)
     if "out" not in moments_ns:
         return
-    quiet_from_ns = moments_ns["out"] + OUT_IN_FORCE_S * NANOSECONDS_PER_S
-    quiet_until_ns = moments_ns.get("back", float("inf"))
+    removed_from_ns = moments_ns["out"] + REMOVAL_GRACE_S * NANOSECONDS_PER_S
+    removed_until_ns = moments_ns.get("back", float("inf"))
     verdict.work_while_out = sum(
-        line["who"].startswith(f"{moved}-") and quiet_from_ns < line["at_ns"] < quiet_until_ns
+        line["who"].startswith(f"{moved_data_centre}-")
+        and removed_from_ns < line["at_ns"] < removed_until_ns
         for line in received
     )
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/__init__.py
@@ -1,4 +1,4 @@
-"""Build the documents, settings and processes of the two users' deployments."""
+"""The documents, settings and process plans of two example deployments."""
 
 from geraniumlead_standins.deployments.addresses import AddressPlan
 from geraniumlead_standins.deployments.deployment import Deployment
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/__main__.py
@@ -17,10 +17,11 @@
 
 
 def build_example_files(deployment: Deployment, is_complete: bool) -> dict[str, bytes]:
-    """Return the text of every file of an example, by its relative path.
+    """Return the contents of every file of an example, by its relative path.
 
-    The short form has contracts, data centres and one settings file; the complete one adds
-    the lists, indexes and every instance's settings, which are long and follow from sizes.
+    The short form has contracts, data centres and one settings file. The complete form adds the
+    lists, the indexes and the settings of all instances, which are long and can be derived from
+    the sizes.
     """
     addresses = AddressPlan.from_base_port(deployment, EXAMPLE_BASE_PORT)
     documents = build_documents(deployment, addresses)
@@ -35,10 +36,10 @@
 
 
 def main() -> None:
-    """Write both examples below a folder."""
+    """Write both examples to a folder."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--folder", type=Path, default=Path("examples"))
-    parser.add_argument("--complete", action="store_true", help="the long lists too")
+    parser.add_argument("--complete", action="store_true", help="include the long lists")
     arguments = parser.parse_args()
     for name, build in DEPLOYMENTS.items():
         for path, text in build_example_files(build(), arguments.complete).items():
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/addresses.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/addresses.py
@@ -1,5 +1,3 @@
-"""Give every process and server of a deployment an address."""
-
 from dataclasses import dataclass
 
 from geraniumlead_standins.deployments.deployment import Deployment
@@ -10,10 +8,10 @@
 
 @dataclass(slots=True, frozen=True)
 class AddressPlan:
-    """Map names to loopback addresses, in one unbroken range of ports.
+    """The loopback addresses of a deployment's processes and servers, in one range of ports.
 
-    ``instances`` maps an instance to its callers', operators' and peers' addresses;
-    ``controls`` maps a data centre to where faults of its upstreams are set.
+    ``instances`` maps an instance to its addresses for callers, operators and peers.
+    ``controls`` maps a data centre to the address at which faults of its upstreams are set.
     """
 
     platform: str
@@ -24,21 +22,21 @@
 
     @classmethod
     def from_base_port(cls, deployment: Deployment, base_port: int) -> "AddressPlan":
-        """Number the ports from ``base_port`` on."""
+        """Assign consecutive ports from ``base_port`` on."""
         ports = iter(range(base_port, 65_536))
 
-        def take() -> str:
+        def next_address() -> str:
             return f"{HOST}:{next(ports)}"
 
-        platform = take()
+        platform = next_address()
         instances = {
-            instance_id: (take(), take(), take())
+            instance_id: (next_address(), next_address(), next_address())
             for name in deployment.data_centres
             for instance_id in deployment.instance_ids(name)
         }
-        controls = {name: take() for name in deployment.data_centres}
+        controls = {name: next_address() for name in deployment.data_centres}
         upstreams = {
-            upstream_id: take()
+            upstream_id: next_address()
             for name in deployment.data_centres
             for service in deployment.services
             for shard in range(service.shards)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/credentials.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/credentials.py
@@ -1,10 +1,10 @@
-"""Make the tokens of example contracts."""
+"""The credentials of example contracts."""
 
 from hashlib import sha256
 
 
 def example_credential(customer: str) -> str:
-    """Return the token of an example's customer; a real one has to be random."""
+    """Return the token of an example customer; a real token has to be random."""
     return f"example-token-of-{customer}"
 
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/deployment.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/deployment.py
@@ -1,5 +1,3 @@
-"""Define one user's deployment."""
-
 from dataclasses import dataclass, replace
 
 from geraniumlead.documents import ContractDocument
@@ -8,10 +6,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Deployment:
-    """Hold the sizes and the contracts of one user.
+    """The sizes and contracts of one example deployment.
 
-    ``instances`` maps a data centre to its number of entry instances; every data centre is a
-    region of its own. ``credentials`` maps a customer to the token of its example contract.
+    ``instances`` maps a data centre to its number of entry instances. Every data centre is a
+    separate region. ``credentials`` maps a customer to the token of its example contract.
     """
 
     name: str
@@ -28,17 +26,17 @@
         return tuple(self.instances)
 
     def with_data_centres(self, count: int) -> "Deployment":
-        """Return the deployment with its first ``count`` data centres only."""
-        kept = dict(list(self.instances.items())[:count])
-        return replace(self, instances=kept)
+        """Return a copy that has only the first ``count`` data centres."""
+        kept_instances = dict(list(self.instances.items())[:count])
+        return replace(self, instances=kept_instances)
 
     def instance_ids(self, data_centre: str) -> list[str]:
-        """Return the names of a data centre's entry instances."""
+        """Return the ids of a data centre's entry instances."""
         return [f"{data_centre}-{number}" for number in range(1, self.instances[data_centre] + 1)]
 
     def upstream_ids(self, data_centre: str, service: ServiceSize, shard: int) -> list[str]:
-        """Return the names of the servers that hold one shard in a data centre."""
+        """Return the ids of the upstreams that hold a shard in a data centre."""
         return [
-            f"{data_centre}-{service.name}-{shard}-{copy}"
-            for copy in range(1, service.servers_per_shard + 1)
+            f"{data_centre}-{service.name}-{shard}-{replica_number}"
+            for replica_number in range(1, service.servers_per_shard + 1)
         ]
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/documents.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/documents.py
@@ -1,4 +1,4 @@
-"""Build the documents that a deployment's operator publishes."""
+"""The documents that the operator of a deployment publishes."""
 
 from geraniumlead.documents import (
     DataCentreDocument,
@@ -19,7 +19,7 @@
 
 
 def build_documents(deployment: Deployment, addresses: AddressPlan) -> dict[str, object]:
-    """Return every document by the key under which it is published."""
+    """Return all documents by the key under which they are published."""
     documents: dict[str, object] = {}
     for contract in deployment.contracts:
         documents[document_key(DocumentKind.CONTRACT, contract.customer)] = contract
@@ -70,7 +70,7 @@
 
 
 def build_index(deployment: Deployment, service: ServiceSize, version: int) -> IndexDocument:
-    """Return an index version of which every data centre holds every shard."""
+    """Return an index version whose shards are all held in every data centre."""
     shards = [
         ShardEntry(
             shard=shard,
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/instances.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/instances.py
@@ -1,5 +1,3 @@
-"""Build the settings of a deployment's entry instances."""
-
 from geraniumlead.settings import InstanceSettings, ListenSettings
 from geraniumlead_standins.deployments.addresses import AddressPlan
 from geraniumlead_standins.deployments.deployment import Deployment
@@ -8,7 +6,7 @@
 def build_instance_settings(
     deployment: Deployment, addresses: AddressPlan
 ) -> dict[str, InstanceSettings]:
-    """Return the settings of every instance, by its name."""
+    """Return the settings of all entry instances of a deployment, by instance id."""
     settings = {}
     for data_centre in deployment.data_centres:
         for instance_id in deployment.instance_ids(data_centre):
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/pinewick.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/pinewick.py
@@ -1,4 +1,4 @@
-"""Build Pinewick's deployment: dispatch, driver tablet, parent portal, district reporting."""
+"""Pinewick's deployment: dispatch, driver tablet, parent portal and district reporting."""
 
 from geraniumlead.documents import ContractDocument, TrafficClass
 from geraniumlead_standins.deployments.credentials import credential_digest, example_credential
@@ -11,7 +11,7 @@
 
 
 def pinewick() -> Deployment:
-    """Return the deployment at the sizes of today."""
+    """Return the deployment at its current size."""
     return Deployment(
         name="pinewick",
         instances={"mass-east": 3, "ct-valley": 2, "nh-seacoast": 2},
@@ -21,14 +21,18 @@
             ServiceSize("parent-portal", 5, 1, 6, 50, 1.0),
             ServiceSize("district-reporting", 3, 1, 6, 50, 1.0, median_ms=30.0),
         ),
-        contracts=(_dispatch(), _parents(), _districts()),
+        contracts=(
+            _build_dispatch_contract(),
+            _build_parents_contract(),
+            _build_districts_contract(),
+        ),
         credentials={name: example_credential(name) for name in (DISPATCH, PARENTS, DISTRICTS)},
         region_delay_ms=8.0,
         client_delay_ms=3.0,
     )
 
 
-def _dispatch() -> ContractDocument:
+def _build_dispatch_contract() -> ContractDocument:
     return ContractDocument(
         customer=DISPATCH,
         credentials_sha256=[credential_digest(example_credential(DISPATCH))],
@@ -65,7 +69,7 @@
     )
 
 
-def _parents() -> ContractDocument:
+def _build_parents_contract() -> ContractDocument:
     return ContractDocument(
         customer=PARENTS,
         credentials_sha256=[credential_digest(example_credential(PARENTS))],
@@ -86,7 +90,7 @@
     )
 
 
-def _districts() -> ContractDocument:
+def _build_districts_contract() -> ContractDocument:
     return ContractDocument(
         customer=DISTRICTS,
         credentials_sha256=[credential_digest(example_credential(DISTRICTS))],
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/rendering.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/rendering.py
@@ -1,4 +1,4 @@
-"""Render documents as an operator would write them."""
+"""Render documents as an operator would write them by hand."""
 
 from msgspec import Struct
 from msgspec.json import encode, format
@@ -6,7 +6,7 @@
 
 
 def render(value: Struct) -> bytes:
-    """Return indented JSON without the fields that have their default value."""
+    """Return a value as indented JSON, without the fields that have their default value."""
     return format(encode(_without_defaults(value)), indent=2) + b"\n"
 
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/service_size.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/service_size.py
@@ -1,13 +1,12 @@
-"""Define the size of one service in each data centre."""
-
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class ServiceSize:
-    """Count the shards of a service and the servers of each; both for each data centre.
+    """The number of shards of a service and of the servers per shard, in each data centre.
 
-    ``median_ms`` and ``sigma`` shape the lognormal time that a stand-in works on a subquery.
+    ``median_ms`` and ``sigma`` define the lognormal distribution of a stand-in's service time
+    for a subquery.
     """
 
     name: str
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/upstream_plans.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/upstream_plans.py
@@ -1,4 +1,4 @@
-"""Build the plans of the upstream stand-ins, one process for each data centre."""
+"""The plans of the upstream stand-ins, one process for each data centre."""
 
 from geraniumlead_standins.deployments.addresses import AddressPlan
 from geraniumlead_standins.deployments.deployment import Deployment
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/van_dijk.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/deployments/van_dijk.py
@@ -1,4 +1,4 @@
-"""Build Van Dijk's deployment: member lookup, statement, archive and booking."""
+"""Van Dijk's deployment: member lookup, statement, archive and booking."""
 
 from geraniumlead.documents import ContractDocument, TrafficClass
 from geraniumlead_standins.deployments.credentials import credential_digest, example_credential
@@ -10,7 +10,7 @@
 
 
 def van_dijk() -> Deployment:
-    """Return the deployment at the sizes of today."""
+    """Return the deployment at its current size."""
     return Deployment(
         name="van-dijk",
         instances={"noord": 3, "midden": 2, "zuid": 2},
@@ -20,14 +20,14 @@
             ServiceSize("archive", 10, 1, 2, 100, 1.0, median_ms=20.0),
             ServiceSize("booking", 5, 1, 2, 100, 1.0, median_ms=8.0),
         ),
-        contracts=(_coordinators(), _archive_readers()),
+        contracts=(_build_coordinators_contract(), _build_archive_readers_contract()),
         credentials={name: example_credential(name) for name in (COORDINATORS, ARCHIVE_READERS)},
         region_delay_ms=20.0,
         client_delay_ms=1.0,
     )
 
 
-def _coordinators() -> ContractDocument:
+def _build_coordinators_contract() -> ContractDocument:
     return ContractDocument(
         customer=COORDINATORS,
         credentials_sha256=[credential_digest(example_credential(COORDINATORS))],
@@ -54,7 +54,7 @@
     )
 
 
-def _archive_readers() -> ContractDocument:
+def _build_archive_readers_contract() -> ContractDocument:
     return ContractDocument(
         customer=ARCHIVE_READERS,
         credentials_sha256=[credential_digest(example_credential(ARCHIVE_READERS))],
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/load/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/load/__init__.py
@@ -1,1 +1,1 @@
-"""Send callers' requests and count what comes back."""
+"""Sends callers' requests and counts their outcomes."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/load/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/load/__main__.py
@@ -18,7 +18,7 @@
 
 
 async def run(plan: LoadPlan) -> list[SentRequest]:
-    """Send what the plan says; return what came of every request."""
+    """Send the load of a plan and return all requests with their outcomes."""
     connector = TCPConnector(limit=0)
     async with ClientSession(connector=connector, timeout=ClientTimeout(total=None)) as session:
         balancer = Balancer(session, plan.addresses, Random(f"{plan.seed}/balancer"))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/load/answer_check.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/load/answer_check.py
@@ -1,10 +1,10 @@
-"""Check an answer against what only its caller knows."""
+"""Check an answer for contradictions that its caller can detect."""
 
 from geraniumlead_standins.load.sent_request import SentRequest
 
 
-def take_answer(sent: SentRequest, body: dict) -> None:
-    """Note an answer's outcome, and what contradicts itself in it."""
+def record_answer(sent: SentRequest, body: dict) -> None:
+    """Record an answer's outcome and the contradictions found in it."""
     outcome = body.get("outcome", "malformed")
     sent.outcomes.append(outcome)
     if outcome not in ("whole", "partial"):
@@ -23,7 +23,7 @@
 
 
 def _check_records(sent: SentRequest, records: list[dict]) -> None:
-    # A stand-in's record is named after the index version and shard that it comes from.
+    # The id of a stand-in's record begins with the index version and the shard it comes from.
     names = [record["id"] for record in records]
     if len(names) != sent.answered_shards or len(set(names)) != len(names):
         sent.faults.append("records do not match the answered shards")
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/load/balancer.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/load/balancer.py
@@ -1,5 +1,3 @@
-"""Choose a ready entry instance, as the platform's balancer does."""
-
 import asyncio
 from random import Random
 
@@ -10,7 +8,10 @@
 
 
 class Balancer:
-    """Ask every instance whether it is ready, and spread requests over those that are."""
+    """A stand-in for the platform's load balancer.
+
+    It probes all entry instances and spreads requests over the ready ones.
+    """
 
     def __init__(self, session: ClientSession, addresses: list[str], random: Random) -> None:
         self._session = session
@@ -19,7 +20,7 @@
         self._ready = list(addresses)
 
     async def run(self) -> None:
-        """Probe until cancelled."""
+        """Probe all instances periodically until cancelled."""
         while True:
             answers = await asyncio.gather(*(self._probe(name) for name in self._addresses))
             self._ready = [
@@ -27,10 +28,10 @@
             ]
             await asyncio.sleep(PROBE_INTERVAL_S)
 
-    def choose(self, *avoided: str) -> str:
-        """Return a ready instance, another than ``avoided`` where there is one."""
+    def choose(self, *excluded: str) -> str:
+        """Return a random ready instance, if possible one that is not in ``excluded``."""
         ready = self._ready or self._addresses
-        return self._random.choice([name for name in ready if name not in avoided] or ready)
+        return self._random.choice([name for name in ready if name not in excluded] or ready)
 
     async def _probe(self, address: str) -> bool:
         try:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/load/caller.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/load/caller.py
@@ -1,5 +1,3 @@
-"""Send the requests of one class and note what comes back."""
-
 import asyncio
 import time
 from random import Random
@@ -8,21 +6,24 @@
 from msgspec import DecodeError
 from msgspec.json import decode, encode
 
-from geraniumlead_standins.load.answer_check import take_answer
+from geraniumlead_standins.load.answer_check import record_answer
 from geraniumlead_standins.load.balancer import Balancer
 from geraniumlead_standins.load.load_plan import ClassLoad
 from geraniumlead_standins.load.sent_request import SentRequest
 
 GRACE_S = 1.0
-"""How much later than its deadline an answer may come before it counts as late."""
+"""How long after its deadline an answer may arrive before it counts as late."""
 
-MOST_ATTEMPTS = 4
-PAUSE_S = 0.05
-REPEAT_AFTER_S = 0.004
+MAX_ATTEMPTS = 4
+RETRY_PAUSE_S = 0.05
+REPEAT_DELAY_S = 0.004
 
 
 class Caller:
-    """Send one class; a request whose connection breaks is sent again to another instance."""
+    """A caller that sends the requests of one class and records their outcomes.
+
+    A request whose connection breaks is retried at another instance.
+    """
 
     def __init__(
         self, session: ClientSession, balancer: Balancer, load: ClassLoad, random: Random
@@ -38,7 +39,7 @@
         self.sent: list[SentRequest] = []
 
     async def run(self, duration_s: float) -> None:
-        """Send for a time, then wait for the last answers."""
+        """Send for ``duration_s``, then wait for the outstanding answers."""
         tasks = []
         loop = asyncio.get_running_loop()
         started_s = due_s = loop.time()
@@ -57,9 +58,9 @@
             is_booking=load.ticketed,
         )
         self.sent.append(sent)
-        bound_s = load.deadline_ms / 1000.0 + GRACE_S
+        timeout_s = load.deadline_ms / 1000.0 + GRACE_S
         try:
-            async with asyncio.timeout(bound_s):
+            async with asyncio.timeout(timeout_s):
                 if load.ticketed:
                     sent.outcome = await self._send_ticketed(sent)
                 else:
@@ -69,24 +70,26 @@
         sent.elapsed_ms = (time.monotonic_ns() - sent.sent_ns) / 1e6
 
     async def _send_idempotent(self, sent: SentRequest) -> str:
-        body = {"class": self._load.class_name, "query": {"text": self._draw_text(sent)}}
+        body = {"class": self._load.class_name, "query": {"text": self._choose_query_text(sent)}}
         address = self._balancer.choose()
-        for _ in range(MOST_ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             outcome = await self._post(sent, address, body)
             if outcome is not None:
                 return outcome
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
             address = self._balancer.choose(address)
         return "unanswered"
 
-    def _draw_text(self, sent: SentRequest) -> str:
-        distinct = self._load.distinct_queries
-        return f"member {self._random.randrange(distinct)}" if distinct else sent.name
+    def _choose_query_text(self, sent: SentRequest) -> str:
+        distinct_queries = self._load.distinct_queries
+        return (
+            f"member {self._random.randrange(distinct_queries)}" if distinct_queries else sent.name
+        )
 
     async def _send_ticketed(self, sent: SentRequest) -> str:
         issued = await self._fetch_ticket()
         if issued is None:
-            # Without a ticket nothing was sent that could run.
+            # Without a ticket no query was sent, so nothing can have run.
             sent.outcomes.append("not_run")
             return "not_run"
         ticket, address = issued
@@ -106,21 +109,21 @@
         return outcome
 
     async def _repeat(self, sent: SentRequest, address: str, body: dict) -> None:
-        await asyncio.sleep(REPEAT_AFTER_S)
+        await asyncio.sleep(REPEAT_DELAY_S)
         await self._post_until_answered(sent, address, body | {"attempt": 2})
 
     async def _post_until_answered(self, sent: SentRequest, address: str, body: dict) -> str:
-        for _ in range(MOST_ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             outcome = await self._post(sent, address, body)
             if outcome is not None:
                 return outcome
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
             address = self._balancer.choose(address)
         return "unanswered"
 
     async def _fetch_ticket(self) -> tuple[str, str] | None:
         address = self._balancer.choose()
-        for _ in range(MOST_ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 async with self._session.post(
                     f"http://{address}/v1/tickets",
@@ -132,12 +135,12 @@
                         return decode(await response.read())["ticket"], address
             except (ClientError, OSError, TimeoutError):
                 pass
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
             address = self._balancer.choose(address)
         return None
 
     async def _post(self, sent: SentRequest, address: str, body: dict) -> str | None:
-        """Return the outcome, or None when the connection broke without one."""
+        """Return the outcome, or None if there was no valid answer."""
         sent.attempts += 1
         headers = self._headers | {"X-Request-Id": sent.name}
         try:
@@ -147,5 +150,5 @@
                 answer = decode(await response.read())
         except (ClientError, OSError, DecodeError):
             return None
-        take_answer(sent, answer)
+        record_answer(sent, answer)
         return sent.outcomes[-1]
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/load/load_plan.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/load/load_plan.py
@@ -1,15 +1,15 @@
-"""Define what callers send."""
+"""The load that callers send."""
 
 from msgspec import Struct
 
 
 class ClassLoad(Struct, kw_only=True, forbid_unknown_fields=True):
-    """Send one class of one customer at a steady rate with random gaps.
+    """The load of one class of one customer: a steady mean rate with random intervals.
 
-    ``ticketed`` requests get a ticket first and name one shard by their key.
-    ``repeat_share`` of them are sent again through another instance while they run.
-    ``distinct_queries`` is the number of different texts of the others, 0 for a new one each
-    time: instances treat a query that they have seen before differently.
+    ``ticketed`` requests fetch a ticket first and select one shard by their key.
+    ``repeat_share`` of them are also sent through another instance while they run.
+    ``distinct_queries`` is the number of different texts of all other requests, or 0 for a new
+    text each time: instances handle a query that they have seen before differently.
     """
 
     customer: str
@@ -23,7 +23,7 @@
 
 
 class LoadPlan(Struct, kw_only=True, forbid_unknown_fields=True):
-    """List the entry instances, the classes, the time and the seed of all randomness."""
+    """The entry instances, the classes, the duration and the seed of all random numbers."""
 
     seed: int
     addresses: list[str]
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/load/sent_request.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/load/sent_request.py
@@ -1,13 +1,11 @@
-"""Define what callers note of one request."""
-
 from msgspec import Struct, field
 
 
 class SentRequest(Struct, kw_only=True):
-    """Note a request, all its attempts' outcomes, and the first final one.
+    """A caller's record of a request, with the outcomes of all attempts and the final one.
 
-    ``outcome`` is one of whole, partial, not_run, failed, unknown and unanswered. ``faults``
-    says what is untrue in the answer by the caller's own account.
+    ``outcome`` is one of whole, partial, not_run, failed, unknown, unanswered and malformed.
+    ``faults`` lists the contradictions that the caller found in the answer.
     """
 
     name: str
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/load/summary.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/load/summary.py
@@ -1,4 +1,4 @@
-"""Count what callers of each class were told."""
+"""Count the outcomes of the requests of each class."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassSummary:
-    """Sum up one class; times are of the answered requests, in milliseconds."""
+    """The outcomes of one class; latencies and coverage are of its answered requests."""
 
     class_name: str
     sent: int
@@ -25,7 +25,7 @@
 
     @classmethod
     def from_requests(cls, class_name: str, requests: list[SentRequest]) -> "ClassSummary":
-        """Count the requests of one class."""
+        """Return the summary of the requests of one class."""
         outcomes = Counter(sent.outcome for sent in requests)
         answered = [sent for sent in requests if sent.asked_shards]
         times = sorted(sent.elapsed_ms for sent in answered)
@@ -47,14 +47,14 @@
 
 
 def percentile(sorted_values: list[float], share: float) -> float:
-    """Return the nearest-rank percentile; 0 of nothing."""
+    """Return the nearest-rank percentile, or 0 if there are no values."""
     if not sorted_values:
         return 0.0
     return sorted_values[min(len(sorted_values) - 1, int(len(sorted_values) * share))]
 
 
 def summarise(requests: list[SentRequest]) -> list[ClassSummary]:
-    """Return one summary a class, in the order in which the classes first occur."""
+    """Return one summary per class, in the order in which the classes first occur."""
     names = dict.fromkeys(sent.class_name for sent in requests)
     return [
         ClassSummary.from_requests(name, [sent for sent in requests if sent.class_name == name])
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/platform/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the platform's configuration service: the etcd v3 JSON gateway."""
+"""A stand-in for the platform's configuration service, the etcd v3 JSON gateway."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/platform/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/platform/__main__.py
@@ -12,7 +12,7 @@
 
 
 async def serve(address: str, documents: dict) -> None:
-    """Publish the first documents and serve until cancelled."""
+    """Publish the initial documents and serve until cancelled."""
     store = PlatformStore()
     for key, value in documents.items():
         store.put(key, encode(value))
@@ -27,7 +27,9 @@
     """Parse the command line and serve."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--listen", required=True, help="IP:port")
-    parser.add_argument("--documents", type=Path, required=True, help="JSON of key to document")
+    parser.add_argument(
+        "--documents", type=Path, required=True, help="JSON object of documents by key"
+    )
     arguments = parser.parse_args()
     asyncio.run(serve(arguments.listen, decode(arguments.documents.read_bytes())))
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/platform/app.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/platform/app.py
@@ -1,5 +1,3 @@
-"""Serve the store as the gateway does, and let an operator publish."""
-
 import asyncio
 from base64 import b64encode
 
@@ -9,43 +7,47 @@
 from geraniumlead_standins.platform.faults import PlatformFaults
 from geraniumlead_standins.platform.store import PlatformStore, StoredValue
 
-LARGEST_BODY_BYTES = 4 * 1024 * 1024
-WATCH_LOOK_S = 0.5
+MAX_BODY_BYTES = 4 * 1024 * 1024
+WATCH_POLL_INTERVAL_S = 0.5
 INSTANCE_LISTS = "geraniumlead/instances/"
 
 _FAULTS = Decoder(PlatformFaults)
 
 
 class PlatformApp:
-    """Answer range and watch requests; count every call."""
+    """A web application that serves the store like the etcd gateway.
+
+    It answers range and watch requests and counts these calls. Additional paths publish
+    documents, set faults and return the number of calls.
+    """
 
     def __init__(self, store: PlatformStore) -> None:
         self._store = store
         self._changed = asyncio.Condition()
-        self._lists_at = 0
+        self._lists_revision = 0
         self.calls = 0
         self.faults = PlatformFaults()
 
     def build(self) -> web.Application:
         """Return the web application."""
-        app = web.Application(client_max_size=LARGEST_BODY_BYTES)
+        app = web.Application(client_max_size=MAX_BODY_BYTES)
         app.router.add_post("/v3/kv/range", self._range)
         app.router.add_post("/v3/watch", self._watch)
         app.router.add_put("/publish", self._publish)
         app.router.add_put("/faults", self._set_faults)
-        app.router.add_get("/calls", self._show_calls)
+        app.router.add_get("/calls", self._get_calls)
         return app
 
     async def _range(self, request: web.Request) -> web.Response:
         await self._begin_call()
-        selected = decode(await request.read())
-        seen = self._seen_revision()
-        live = self._store.find_live(seen, self._is_shown)
+        range_request = decode(await request.read())
+        visible_revision = self._get_visible_revision()
+        live = self._store.find_live(visible_revision, self._is_visible)
         count = str(len(live))
-        if "limit" in selected:
-            live = sorted(live, key=lambda change: -change.revision)[: int(selected["limit"])]
-        kvs = [_render(change, with_value=not selected.get("keys_only")) for change in live]
-        answer = {"header": {"revision": str(seen)}, "kvs": kvs, "count": count}
+        if "limit" in range_request:
+            live = sorted(live, key=lambda change: -change.revision)[: int(range_request["limit"])]
+        kvs = [_render(change, with_value=not range_request.get("keys_only")) for change in live]
+        answer = {"header": {"revision": str(visible_revision)}, "kvs": kvs, "count": count}
         return web.Response(body=encode(answer), content_type="application/json")
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
@@ -53,15 +55,15 @@
         revision = int(decode(await request.read())["create_request"]["start_revision"])
         response = web.StreamResponse(headers={"Content-Type": "application/json"})
         await response.prepare(request)
-        header = {"revision": str(self._seen_revision())}
+        header = {"revision": str(self._get_visible_revision())}
         await response.write(encode({"result": {"header": header, "created": True}}) + b"\n")
         while not self.faults.down:
-            seen = self._seen_revision()
-            if seen >= revision and not self.faults.silent_watches:
-                changes = self._store.find_between(revision, seen)
-                events = [_render_event(change) for change in changes if self._is_shown(change)]
-                result = {"header": {"revision": str(seen)}, "events": events}
-                revision = seen + 1
+            visible_revision = self._get_visible_revision()
+            if visible_revision >= revision and not self.faults.silent_watches:
+                changes = self._store.find_between(revision, visible_revision)
+                events = [_render_event(change) for change in changes if self._is_visible(change)]
+                result = {"header": {"revision": str(visible_revision)}, "events": events}
+                revision = visible_revision + 1
                 await response.write(encode({"result": result}) + b"\n")
             await self._wait_for_change()
         return response
@@ -69,7 +71,7 @@
     async def _wait_for_change(self) -> None:
         async with self._changed:
             try:
-                await asyncio.wait_for(self._changed.wait(), WATCH_LOOK_S)
+                await asyncio.wait_for(self._changed.wait(), WATCH_POLL_INTERVAL_S)
             except TimeoutError:
                 return
 
@@ -82,13 +84,13 @@
 
     async def _set_faults(self, request: web.Request) -> web.Response:
         self.faults = _FAULTS.decode(await request.read())
-        self._lists_at = self._store.revision
+        self._lists_revision = self._store.revision
         if self.faults.restore_revision is not None:
             self._store.restore(self.faults.restore_revision)
         await self._notify()
         return web.Response(body=encode(self.faults), content_type="application/json")
 
-    async def _show_calls(self, request: web.Request) -> web.Response:
+    async def _get_calls(self, request: web.Request) -> web.Response:
         return web.json_response({"calls": self.calls, "revision": self._store.revision})
 
     async def _notify(self) -> None:
@@ -104,14 +106,14 @@
         if self.faults.down:
             raise web.HTTPServiceUnavailable
 
-    def _seen_revision(self) -> int:
+    def _get_visible_revision(self) -> int:
         if self.faults.stale_revision is None:
             return self._store.revision
         return min(self.faults.stale_revision, self._store.revision)
 
-    def _is_shown(self, change: StoredValue) -> bool:
+    def _is_visible(self, change: StoredValue) -> bool:
         is_list = change.key.startswith(INSTANCE_LISTS)
-        return not (self.faults.lists_lag and is_list and change.revision > self._lists_at)
+        return not (self.faults.lists_lag and is_list and change.revision > self._lists_revision)
 
 
 def _render(change: StoredValue, with_value: bool = True) -> dict:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/platform/faults.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/platform/faults.py
@@ -1,15 +1,13 @@
-"""Define the faults that a test puts on the platform."""
-
 from msgspec import Struct
 
 
 class PlatformFaults(Struct, kw_only=True, forbid_unknown_fields=True):
-    """Set what goes wrong from now on; what is left out works.
+    """The faults that a test sets on the platform; fields that are left out clear their fault.
 
-    ``down`` refuses calls and ends watches. ``silent_watches`` keeps them open and says
-    nothing. ``stale_revision`` serves an old copy. ``over_budget`` answers 429.
-    ``slow_ms`` delays each answer. ``lists_lag`` hides newer lists of instances.
-    ``restore_revision`` goes back to a backup, once.
+    ``down`` refuses calls and ends watches. ``silent_watches`` keeps watches open but sends
+    nothing. ``stale_revision`` serves the state of an old revision. ``over_budget`` answers 429.
+    ``slow_ms`` delays each answer. ``lists_lag`` hides instance lists that are published after
+    the fault is set. ``restore_revision`` restores a backup of that revision once.
     """
 
     down: bool = False
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/startup/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/startup/__init__.py
@@ -1,1 +1,1 @@
-"""Measure an instance's start and its memory, idle and with many open requests."""
+"""Measures an instance's start time and its memory, idle and with many open requests."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/startup/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/startup/__main__.py
@@ -1,4 +1,4 @@
-"""Measure start and memory: ``python -m geraniumlead_standins.startup``."""
+"""Measure start time and memory: ``python -m geraniumlead_standins.startup``."""
 
 import argparse
 import asyncio
@@ -13,8 +13,8 @@
 
 from geraniumlead.settings import LimitSettings
 from geraniumlead_standins.demo.free_ports import find_base_port
-from geraniumlead_standins.demo.process_group import ProcessGroup
-from geraniumlead_standins.demo.run_to_end import run_to_end
+from geraniumlead_standins.demo.process_manager import ProcessManager
+from geraniumlead_standins.demo.run_cancellable import run_cancellable
 from geraniumlead_standins.deployments import (
     AddressPlan,
     build_documents,
@@ -33,15 +33,15 @@
 SLOTS = 600
 SLOWDOWN = 1_500.0
 QUEUE_FACTOR = 4
-WATCH_S = 8.0
+PEAK_OBSERVATION_S = 8.0
 WARM_UP_REQUESTS = 3_000
-WARM_UP_AT_ONCE = 50
+WARM_UP_CONCURRENCY = 50
 SETTLE_S = 8.0
 BYTES_PER_MB = 1_000_000
 
 
-class StartupFigures(Struct, kw_only=True):
-    """Hold what one run measured."""
+class StartupMeasurements(Struct, kw_only=True):
+    """The results of one run."""
 
     ready_s: list[float]
     idle_mb: float
@@ -51,8 +51,8 @@
     bytes_per_open_request: float
 
 
-class StartupRun:
-    """Start one instance several times, then load the last one."""
+class StartupBenchmark:
+    """A benchmark that starts an instance several times and sends load to the last one."""
 
     def __init__(self, folder: Path, requests: int, starts: int) -> None:
         self._folder = folder
@@ -62,12 +62,12 @@
         needed = AddressPlan.from_base_port(self._deployment, 1).port_count
         base_port = find_base_port(FIRST_PORT, needed)
         self._addresses = AddressPlan.from_base_port(self._deployment, base_port)
-        self._processes = ProcessGroup(folder)
+        self._processes = ProcessManager(folder)
 
-    async def run(self) -> StartupFigures:
-        """Measure; no process is left."""
+    async def run(self) -> StartupMeasurements:
+        """Run the measurement and stop all processes."""
         try:
-            await self._start_stand_ins()
+            await self._start_standins()
             ready_s = []
             for number in range(self._starts):
                 if number:
@@ -78,7 +78,7 @@
         finally:
             await self._processes.stop_all()
 
-    async def _start_stand_ins(self) -> None:
+    async def _start_standins(self) -> None:
         documents = self._write("documents", build_documents(self._deployment, self._addresses))
         await self._processes.start(
             "platform",
@@ -104,38 +104,41 @@
         )
         async with ClientSession() as session:
             while not await self._is_ready(session):
-                if "instance" in self._processes.find_ended():
-                    raise RuntimeError("the instance ended; its log says why")
+                if "instance" in self._processes.find_unexpected_exits():
+                    raise RuntimeError("the instance exited while starting; see its log")
                 await asyncio.sleep(0.01)
         return time.monotonic() - started_s
 
     async def _is_ready(self, session: ClientSession) -> bool:
         try:
-            async with session.get(f"http://{self._callers}/ready") as response:
+            async with session.get(f"http://{self._callers_address}/ready") as response:
                 return response.status == 200
         except (ClientError, OSError):
             return False
 
-    async def _measure_memory(self, ready_s: list[float]) -> StartupFigures:
+    async def _measure_memory(self, ready_s: list[float]) -> StartupMeasurements:
         idle_mb = self._resident_mb()
         connector = TCPConnector(limit=0)
         async with ClientSession(connector=connector, timeout=ClientTimeout(total=None)) as session:
-            gate = asyncio.Semaphore(WARM_UP_AT_ONCE)
+            concurrency_limit = asyncio.Semaphore(WARM_UP_CONCURRENCY)
             await asyncio.gather(
-                *(self._send(session, number, gate) for number in range(WARM_UP_REQUESTS))
+                *(
+                    self._send(session, number, concurrency_limit)
+                    for number in range(WARM_UP_REQUESTS)
+                )
             )
             warmed_mb = self._resident_mb()
             await self._slow_down(session)
-            free = asyncio.Semaphore(self._requests)
+            no_limit = asyncio.Semaphore(self._requests)
             tasks = [
-                asyncio.create_task(self._send(session, number, free))
+                asyncio.create_task(self._send(session, number, no_limit))
                 for number in range(self._requests)
             ]
-            open_requests, open_mb = await self._watch_peak(session)
+            open_requests, open_mb = await self._observe_peak(session)
             for task in tasks:
                 task.cancel()
         extra_bytes = (open_mb - warmed_mb) * BYTES_PER_MB
-        return StartupFigures(
+        return StartupMeasurements(
             ready_s=[round(value, 3) for value in ready_s],
             idle_mb=round(idle_mb, 1),
             warmed_mb=round(warmed_mb, 1),
@@ -144,16 +147,18 @@
             bytes_per_open_request=round(extra_bytes / max(1, open_requests)),
         )
 
-    async def _send(self, session: ClientSession, number: int, gate: asyncio.Semaphore) -> None:
+    async def _send(
+        self, session: ClientSession, number: int, concurrency_limit: asyncio.Semaphore
+    ) -> None:
         headers = {
             "Authorization": f"Bearer {self._deployment.credentials[CUSTOMER]}",
             "Content-Type": "application/json",
         }
         body = encode({"class": CLASS_NAME, "query": {"text": "x"}, "key": f"k{number}"})
         async with (
-            gate,
+            concurrency_limit,
             session.post(
-                f"http://{self._callers}/v1/queries", data=body, headers=headers
+                f"http://{self._callers_address}/v1/queries", data=body, headers=headers
             ) as response,
         ):
             await response.read()
@@ -164,14 +169,14 @@
         async with session.put(f"http://{control}/faults", data=encode(faults)) as response:
             response.raise_for_status()
 
-    async def _watch_peak(self, session: ClientSession) -> tuple[int, float]:
-        """Return the most requests that were open or queued at once, and the memory then."""
+    async def _observe_peak(self, session: ClientSession) -> tuple[int, float]:
+        """Return the highest number of open and queued requests, and the memory at that time."""
         peak = (0, 0.0)
-        ends_s = time.monotonic() + WATCH_S
-        while time.monotonic() < ends_s:
-            async with session.get(f"http://{self._operators}/v1/status") as response:
-                found = decode(await response.read())
-            count = found["open_requests"] + found["queued_requests"]
+        end_s = time.monotonic() + PEAK_OBSERVATION_S
+        while time.monotonic() < end_s:
+            async with session.get(f"http://{self._operators_address}/v1/status") as response:
+                status = decode(await response.read())
+            count = status["open_requests"] + status["queued_requests"]
             peak = max(peak, (count, self._resident_mb()))
             await asyncio.sleep(0.2)
         return peak
@@ -180,11 +185,11 @@
         return psutil.Process(self._process.pid).memory_info().rss / BYTES_PER_MB
 
     @property
-    def _callers(self) -> str:
+    def _callers_address(self) -> str:
         return self._addresses.instances["noord-1"][0]
 
     @property
-    def _operators(self) -> str:
+    def _operators_address(self) -> str:
         return self._addresses.instances["noord-1"][1]
 
     def _write(self, name: str, value: object) -> Path:
@@ -194,15 +199,17 @@
 
 
 def main() -> None:
-    """Measure and print the figures as JSON."""
+    """Run the measurement and print its results as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=10_000)
     parser.add_argument("--starts", type=int, default=5)
     arguments = parser.parse_args()
     folder = FOLDER / datetime.now().strftime("%Y%m%d-%H%M%S-%f")
     folder.mkdir(parents=True)
-    figures = run_to_end(StartupRun(folder, arguments.requests, arguments.starts).run())
-    print(encode(figures).decode())
+    measurements = run_cancellable(
+        StartupBenchmark(folder, arguments.requests, arguments.starts).run()
+    )
+    print(encode(measurements).decode())
 
 
 if __name__ == "__main__":
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/startup/small_deployment.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/startup/small_deployment.py
@@ -1,4 +1,4 @@
-"""Build a deployment of one instance and one service that bears many open requests."""
+"""A deployment of one instance and one service that allows many open requests."""
 
 from geraniumlead.documents import ContractDocument, TrafficClass
 from geraniumlead_standins.deployments import Deployment, ServiceSize
@@ -10,7 +10,7 @@
 
 
 def build_small_deployment(shards: int, slots: int, requests: int) -> Deployment:
-    """Return a deployment whose only contract allows ``requests`` at once."""
+    """Return a deployment whose only contract allows ten times ``requests`` at once."""
     contract = ContractDocument(
         customer=CUSTOMER,
         credentials_sha256=[credential_digest(example_credential(CUSTOMER))],
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/testing/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Run the workspace's tests."""
+"""Runs the tests of all packages."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/testing/runner.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/testing/runner.py
@@ -1,4 +1,4 @@
-"""Find and run the tests of every package, and close with one line of counts."""
+"""Find and run the tests of every package, and print one line with their counts."""
 
 import argparse
 import logging
@@ -12,7 +12,7 @@
 
 
 def load_tests(packages_folder: Path, pattern: str) -> TestSuite:
-    """Return the tests below every ``packages/<name>/tests``."""
+    """Return the tests in every ``packages/<name>/tests``."""
     suite = TestSuite()
     for folder in sorted(packages_folder.glob("*/tests")):
         suite.addTests(TestLoader().discover(str(folder), pattern=pattern, top_level_dir=folder))
@@ -20,18 +20,18 @@
 
 
 def find_failed_ids(result: TestResult) -> set[str]:
-    """Return the ids of tests that failed, erred or passed against expectation."""
+    """Return the ids of tests that failed, had an error or passed unexpectedly."""
     failed = [test for test, _ in result.failures + result.errors]
     return {test.id().split(" ")[0] for test in failed + list(result.unexpectedSuccesses)}
 
 
 def main() -> int:
-    """Run the tests; exit 1 unless every failure is listed in KNOWN-RED.txt."""
+    """Run the tests; return 1 if a failure is not listed in KNOWN-RED.txt or no test passed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("packages", type=Path, help="the folder that holds the packages")
     parser.add_argument("--pattern", default="test_*.py", help="file names to run")
     arguments = parser.parse_args()
-    # A test that provokes a failure on purpose would flood the output with its log lines.
+    # Tests that provoke failures on purpose would flood the output with log lines.
     logging.disable(logging.ERROR)
     result = TextTestRunner(verbosity=1).run(load_tests(arguments.packages, arguments.pattern))
     known_red = read_known_red(KNOWN_RED_FILE)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/upstream/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the upstreams: many servers in one process."""
+"""A stand-in for the upstreams that runs many servers in one process."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/upstream/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/upstream/__main__.py
@@ -15,7 +15,7 @@
 
 
 async def listen(app: web.Application, address: str) -> None:
-    """Serve an application on an ``IP:port`` address."""
+    """Start serving an application on an ``IP:port`` address."""
     runner = web.AppRunner(app, access_log=None, handler_cancellation=True)
     await runner.setup()
     host, _, port = address.rpartition(":")
@@ -23,7 +23,7 @@
 
 
 async def serve(plan: ProcessPlan) -> None:
-    """Serve all servers of a plan until cancelled."""
+    """Run all servers of a plan until cancelled."""
     history_path = Path(plan.history) if plan.history else None
     servers: dict[str, UpstreamApp] = {}
     for server_plan in plan.servers:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/upstream/control.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/upstream/control.py
@@ -1,5 +1,3 @@
-"""Let a test set faults on the servers of a process."""
-
 from aiohttp import web
 from msgspec.json import decode
 
@@ -7,7 +5,10 @@
 
 
 class ControlApp:
-    """Take PUT /faults with upstream ids and what to change."""
+    """A web application with which tests set faults on the servers of a process.
+
+    ``PUT /faults`` takes an object that maps upstream ids to the faults to change.
+    """
 
     def __init__(self, servers: dict[str, UpstreamApp]) -> None:
         self._servers = servers
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/upstream/server_plan.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/upstream/server_plan.py
@@ -1,10 +1,10 @@
-"""Define what one upstream server does."""
+"""The plans of the upstream stand-in."""
 
 from msgspec import Struct, field
 
 
 class ServerPlan(Struct, kw_only=True, forbid_unknown_fields=True):
-    """Set one server's address, size, speed and data.
+    """The address, size, speed and data of one server.
 
     ``holds`` maps an index version, as text, to the shards that the server holds of it.
     """
@@ -22,7 +22,7 @@
 
 
 class ProcessPlan(Struct, kw_only=True, forbid_unknown_fields=True):
-    """List the servers of one process, the seed of its randomness and where faults are set."""
+    """The servers of one process, its random seed and the address at which faults are set."""
 
     seed: int
     control: str
--- a/packages/geraniumlead-standins/tests/standins_tests/demo/builders.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/demo/builders.py
@@ -1,10 +1,10 @@
-"""Build test data for the demo's tests."""
+"""Helpers for the tests of the demo."""
 
 from geraniumlead_standins.load.sent_request import SentRequest
 
 
 def build_sent(name: str = "booking-0", **changes) -> SentRequest:
-    """Return a booking whose caller got the whole answer."""
+    """Return a booking whose caller received a whole answer."""
     values = {
         "name": name,
         "class_name": "booking",
@@ -19,13 +19,13 @@
 
 
 def build_ran(name: str = "booking-0", **changes) -> dict:
-    """Return an upstream's line about a booking that ran."""
+    """Return an upstream's history line about a booking that ran."""
     line = {"event": "ran", "who": "noord-booking-0-1", "at_ns": 0, "token": name}
     return line | changes
 
 
 def build_received(**changes) -> dict:
-    """Return an upstream's line about a subquery that arrived."""
+    """Return an upstream's history line about a received subquery."""
     line = {
         "event": "received",
         "who": "zuid-booking-0-1",
--- a/packages/geraniumlead-standins/tests/standins_tests/demo/test_upstream_history.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/demo/test_upstream_history.py
@@ -1,4 +1,4 @@
-"""Test that the demo reads what the upstream stand-in writes."""
+"""Tests that the demo can read the history that the upstream stand-in writes."""
 
 from pathlib import Path
 from random import Random
@@ -8,7 +8,7 @@
 from aiohttp.test_utils import TestClient, TestServer
 
 from geraniumlead_standins.demo.extra_load import measure_extra_load
-from geraniumlead_standins.demo.verdict import judge, read_lines
+from geraniumlead_standins.demo.verdict import evaluate_run, read_lines
 from geraniumlead_standins.history import HistoryWriter
 from geraniumlead_standins.upstream.app import UpstreamApp
 from geraniumlead_standins.upstream.server_plan import ServerPlan
@@ -17,10 +17,10 @@
 
 class UpstreamHistoryTests(IsolatedAsyncioTestCase):
     async def test_a_booking_that_runs_twice_is_found(self):
-        """An instance sends one booking twice, and the upstream runs both.
+        """A booking that an instance sends twice runs twice, since upstreams do not deduplicate.
 
-        Upstreams promise no deduplication. The demo has to see it in the lines that the
-        stand-in really writes, not only in lines of the tests' own making.
+        The demo has to detect this in lines written by the stand-in, not only in lines that the
+        tests build.
         """
         plan = ServerPlan(
             upstream_id="noord-booking-0-1",
@@ -47,7 +47,7 @@
                     async with client.post("/v1/subqueries", json=body) as response:
                         self.assertEqual(response.status, 200)
             lines = read_lines(path)
-        verdict = judge([build_sent()], lines, "zuid", {})
+        verdict = evaluate_run([build_sent()], lines, "zuid", {})
         self.assertEqual((verdict.bookings_run, verdict.doubled_bookings), (1, 1))
         self.assertEqual((verdict.lost_bookings, verdict.subqueries), (0, 2))
         self.assertEqual(measure_extra_load(lines), {"booking": 1.0})
--- a/packages/geraniumlead-standins/tests/standins_tests/deployments/test_documents.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/deployments/test_documents.py
@@ -1,4 +1,4 @@
-"""Test that the examples are at the users' sizes and hold together."""
+"""Tests that the example deployments have the expected size and consistent documents."""
 
 from unittest import TestCase
 
@@ -27,9 +27,13 @@
                 self.assertEqual(len(store.view.data_centres), 3)
                 self.assertEqual(len(store.view.upstreams), 3 * UPSTREAMS_PER_DATA_CENTRE[name])
 
-    def test_no_address_is_given_twice(self):
+    def test_addresses_are_unique(self):
         addresses = AddressPlan.from_base_port(DEPLOYMENTS["van-dijk"](), 20_000)
-        given = [addresses.platform, *addresses.upstreams.values(), *addresses.controls.values()]
-        given += [address for three in addresses.instances.values() for address in three]
-        self.assertEqual(len(set(given)), addresses.port_count)
-        self.assertEqual(len(given), addresses.port_count)
+        assigned = [addresses.platform, *addresses.upstreams.values(), *addresses.controls.values()]
+        assigned += [
+            address
+            for addresses_of_instance in addresses.instances.values()
+            for address in addresses_of_instance
+        ]
+        self.assertEqual(len(set(assigned)), addresses.port_count)
+        self.assertEqual(len(assigned), addresses.port_count)
--- a/packages/geraniumlead-standins/tests/standins_tests/deployments/test_examples.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/deployments/test_examples.py
@@ -1,4 +1,4 @@
-"""Test that the committed examples are current and without an error."""
+"""Tests that the committed examples are current and have no errors."""
 
 from pathlib import Path
 from unittest import TestCase
--- a/packages/geraniumlead-standins/tests/standins_tests/load/test_answer_check.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/load/test_answer_check.py
@@ -1,13 +1,13 @@
-"""Test that a caller finds an answer that contradicts itself."""
+"""Tests that a caller detects an answer that contradicts itself."""
 
 from unittest import TestCase
 
-from geraniumlead_standins.load.answer_check import take_answer
+from geraniumlead_standins.load.answer_check import record_answer
 from standins_tests.demo.builders import build_sent
 
 
 def build_answer(**changes) -> dict:
-    """Return a whole answer of two shards."""
+    """Return a whole answer from two shards."""
     answer = {
         "outcome": "whole",
         "index_version": 1,
@@ -17,13 +17,13 @@
     return answer | changes
 
 
-class TakeAnswerTests(TestCase):
+class RecordAnswerTests(TestCase):
     def find_faults(self, **changes) -> list[str]:
         sent = build_sent(outcomes=[])
-        take_answer(sent, build_answer(**changes))
+        record_answer(sent, build_answer(**changes))
         return sent.faults
 
-    def test_accepts_a_true_answer(self):
+    def test_accepts_a_consistent_answer(self):
         self.assertEqual(self.find_faults(), [])
 
     def test_finds_a_partial_answer_that_claims_to_be_whole(self):
