--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/retry_storm.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/retry_storm.py
@@ -27,13 +27,13 @@
     for after in (AfterRefusal.RETURN_AT_ONCE, AfterRefusal.HONOUR_TIME):
         rows += _measure(f"plain, {after}", use_plain_admission, after, seed)
         rows += _measure(f"module, {after}", use_module, after, seed)
-    spread = retry_after.SPREAD
+    spread = retry_after.SPREAD_FACTOR
     try:
-        retry_after.SPREAD = 0.0
+        retry_after.SPREAD_FACTOR = 0.0
         after = AfterRefusal.HONOUR_TIME
         rows += _measure(f"rival not spread, {after}", use_module, after, seed)
     finally:
-        retry_after.SPREAD = spread
+        retry_after.SPREAD_FACTOR = spread
     return rows
 
 
