--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_client/client.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_client/client.py
@@ -1,4 +1,4 @@
-"""Carry out attempts of opaque requests with aiohttp."""
+"""Send attempts of opaque requests with aiohttp."""
 
 import asyncio
 import logging
@@ -23,14 +23,14 @@
 from geraniumlead_server.platform import REQUEST_ID_HEADER, attempt_headers, read_answer
 
 CONNECT_TIMEOUT_S = 0.25
-"""The longest way between regions and back takes 40 ms, a busy upstream some 10 ms more; an
-upstream without power never answers, and another one has to be asked in time."""
+"""The longest round trip between regions takes 40 ms, and a busy upstream some 10 ms more. An
+upstream without power never answers, and another one has to be tried in time."""
 
 logger = logging.getLogger("geraniumlead")
 
 
 class AttemptClient:
-    """Run each attempt as a task and report its end once, unless it is cancelled before."""
+    """Runs each attempt as a task and reports its result once, unless it is cancelled before."""
 
     def __init__(self, report: Callable[[AttemptEnded], None]) -> None:
         self._report = report
@@ -43,13 +43,13 @@
         self._tasks[action.attempt_id] = self._loop.create_task(self._run(action))
 
     def cancel(self, attempt_id: int) -> None:
-        """End an attempt without a report; its closed connection tells the upstream."""
+        """Cancel an attempt without a report; the upstream notices the closed connection."""
         task = self._tasks.pop(attempt_id, None)
         if task is not None:
             task.cancel()
 
     async def close(self) -> None:
-        """Cancel what runs and close all connections."""
+        """Cancel all running attempts and close all connections."""
         for task in self._tasks.values():
             task.cancel()
         if self._session is not None:
@@ -94,7 +94,7 @@
                 skip_auto_headers=("Accept", "Accept-Encoding", "Content-Type", "User-Agent"),
                 timeout=ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
             )
-            # aiohttp sends a GET again when a kept connection breaks. Whether a request may
-            # be repeated is not for its method to say: it would run twice.
+            # aiohttp retries a GET when a kept-alive connection breaks. The route and not the
+            # method decides whether a request may be repeated: it could run twice.
             self._session._retry_connection = False
         return self._session
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_client/connections.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_client/connections.py
@@ -1,4 +1,4 @@
-"""Keep connections on which every answer belongs to its request."""
+"""Pooled connections on which every answer belongs to its request."""
 
 import asyncio
 
@@ -6,19 +6,19 @@
 from aiohttp.client_proto import ResponseHandler
 
 IDLE_S = 30.0
-"""Time after which an idle connection is closed here, where the upstream names no time."""
+"""Time after which an idle connection is closed if the upstream specifies no keep-alive time."""
 
 IDLE_MARGIN_S = 1.0
-"""Kept from the time that an upstream names: its clock starts earlier, and it counts in whole
-seconds. A request that crosses the close may or may not have run."""
+"""Subtracted from an upstream's keep-alive time: its clock starts earlier, and it counts in whole
+seconds. A request that is sent while the upstream closes the connection may or may not have run."""
 
 
 class AttemptConnection(ResponseHandler):
-    """Be a connection that drops answers to other requests.
+    """A connection that drops answers to other requests.
 
-    Failure: an upstream sends a second answer to an old request, late, on a kept connection.
-    Taken for the next request's it reaches the wrong caller. The answer's request id tells
-    them apart; and a connection with unasked bytes is not used again.
+    Failure: an upstream sends a second, late answer to an old request on a kept-alive connection,
+    and it reaches the caller of the next request. The request id in the answer tells them apart,
+    and a connection with unsolicited bytes is not used again.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, id_header: str) -> None:
@@ -29,7 +29,7 @@
         self._idle_s = IDLE_S
 
     def expect(self, request_id: str | None) -> None:
-        """Take only answers with this id, or without one, from now on."""
+        """Accept only answers with this request id, or without one, from now on."""
         self._expected_id = request_id
 
     def feed_data(self, data, size: int = 0) -> None:
@@ -44,10 +44,10 @@
         super().feed_data(data, size)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Fail an answer without length whose connection is reset.
+        """Fail an answer without a length whose connection is reset.
 
-        Such an answer ends with its connection; aiohttp takes a reset for that end, and half
-        an answer would look whole.
+        The end of the connection marks the end of such an answer. aiohttp accepts a reset as that
+        end, too, and a partial answer would look complete.
         """
         if exc is not None and self._payload is not None and not self._payload.is_eof():
             self._payload.set_exception(ClientPayloadError("connection reset in an answer"))
@@ -60,11 +60,11 @@
 
 
 class AttemptConnector(TCPConnector):
-    """Pool connections as usual, but hand out only those that are still sound.
+    """A connector that reuses only connections that are still usable.
 
-    aiohttp looks at unasked bytes only when a connection is given back, not when they come
-    later; it has no public hook for either, so its protocol factory and its look-up are
-    replaced, and a test fails when a new version no longer uses them.
+    aiohttp checks for unsolicited bytes only when a connection is released, not when they arrive
+    later. It has no public hook for either, so its protocol factory and its look-up method are
+    replaced; a test fails when a new version no longer uses them.
     """
 
     def __init__(self, id_header: str, **options) -> None:
@@ -80,16 +80,16 @@
 
 
 class AttemptRequest(ClientRequest):
-    """Tell the connection which request's answer comes next."""
+    """A request that sets the request id which its connection expects in the answer."""
 
     async def send(self, conn):
-        """Write the request."""
+        """Set the expected request id and write the request."""
         conn.protocol.expect(self.headers.get(conn.protocol._id_header))
         return await super().send(conn)
 
 
 def _read_idle_s(keep_alive: str | None) -> float:
-    """Return how long a connection may idle, from a Keep-Alive header."""
+    """Return how long a connection may stay idle, from a Keep-Alive header."""
     for part in (keep_alive or "").split(","):
         name, _, value = part.partition("=")
         if name.strip().lower() == "timeout" and value.strip().isdigit():
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_driver.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_driver.py
@@ -1,4 +1,4 @@
-"""Drive the forwarder: feed it events and carry out its actions."""
+"""Pass events to the forwarder and carry out its actions."""
 
 import asyncio
 import logging
@@ -26,9 +26,9 @@
 
 
 class ForwardingDriver:
-    """Hold the forwarder, its timer, and the callers that wait for replies.
+    """Holds the forwarder, its timer, and the futures of callers that wait for replies.
 
-    Everything runs on one loop; an event that comes while another is handled waits for it.
+    Everything runs on one event loop; an event that occurs while another is handled waits for it.
     """
 
     def __init__(self, forwarder: Forwarder, carry_out: Callable[[ForwardingAction], None]) -> None:
@@ -38,7 +38,7 @@
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due_ms = float("inf")
-        self._waiting: dict[int, asyncio.Future] = {}
+        self._pending_replies: dict[int, asyncio.Future] = {}
         self._decided_ms: dict[int, float] = {}
         self._last_key = 0
 
@@ -49,39 +49,39 @@
         return RequestLimits() if configuration is None else configuration.limits
 
     def now_ms(self) -> float:
-        """Return the monotonic clock in milliseconds."""
+        """Return the time of the monotonic clock in milliseconds."""
         return self._loop.time() * 1000.0
 
     def next_key(self) -> int:
-        """Return a key that no other request of this process has."""
+        """Return a request key that is unique in this process."""
         self._last_key += 1
         return self._last_key
 
     def handle(self, event: ForwardingEvent) -> None:
-        """Pass one event to the forwarder and carry out what follows."""
+        """Pass one event to the forwarder and carry out the resulting actions."""
         self.carry_out_all(self.forwarder.handle(event, self.now_ms()))
         self._arm_timer()
 
-    def ask(self, request: ForwardedRequest) -> asyncio.Future:
-        """Return the future reply to a request."""
+    def submit(self, request: ForwardedRequest) -> asyncio.Future:
+        """Pass a request to the forwarder and return a future for its reply."""
         future = self._loop.create_future()
-        self._waiting[request.key] = future
+        self._pending_replies[request.key] = future
         self.handle(RequestArrived(request))
         return future
 
-    def note_written(self, key: int) -> None:
-        """Tell that a reply was written to its caller's connection."""
+    def record_written(self, key: int) -> None:
+        """Record that a reply was written to its caller's connection."""
         decided_ms = self._decided_ms.pop(key, None)
         if decided_ms is not None:
             self.handle(ReplyWritten(self.now_ms() - decided_ms))
 
-    def drop(self, key: int) -> None:
-        """Tell that a caller left."""
-        if self._waiting.pop(key, None) is not None:
+    def handle_disconnect(self, key: int) -> None:
+        """Report to the forwarder that a caller closed its connection."""
+        if self._pending_replies.pop(key, None) is not None:
             self.handle(CallerLeft(key))
 
     def carry_out_all(self, actions: list[ForwardingAction]) -> None:
-        """Carry out actions in their order."""
+        """Carry out actions in order."""
         for action in actions:
             match action:
                 case SendReply(key=key, reply=reply):
@@ -93,7 +93,7 @@
                     self._carry_out(action)
 
     def _resolve(self, key: int, reply: Reply) -> None:
-        future = self._waiting.pop(key, None)
+        future = self._pending_replies.pop(key, None)
         if future is not None and not future.done():
             self._decided_ms[key] = self.now_ms()
             future.set_result(reply)
@@ -107,8 +107,8 @@
             self._timer = None
         self._timer_due_ms = due_ms
         if due_ms < float("inf"):
-            self._timer = self._loop.call_at(due_ms / 1000.0, self._fire)
+            self._timer = self._loop.call_at(due_ms / 1000.0, self._handle_timer)
 
-    def _fire(self) -> None:
+    def _handle_timer(self) -> None:
         self._timer, self._timer_due_ms = None, float("inf")
         self.handle(TimePassed())
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_front/asgi_reply.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_front/asgi_reply.py
@@ -1,4 +1,4 @@
-"""Send one whole reply over an ASGI channel."""
+"""Send complete replies over an ASGI channel."""
 
 from collections.abc import Awaitable, Callable, Iterable
 
@@ -11,8 +11,8 @@
 async def send_reply(
     send: Send, status: int, headers: Iterable[tuple[str, str]], body: bytes
 ) -> None:
-    """Send status, headers and body; the length is added."""
-    # aiohttp reads upstreams' headers this way; other bytes than theirs would be passed on.
+    """Send status, headers and body, and add the Content-Length header."""
+    # aiohttp decodes upstreams' headers this way; another encoding would change their bytes.
     encoded = [(name.encode(), value.encode("utf-8", "surrogateescape")) for name, value in headers]
     if status not in NO_CONTENT_STATUSES:
         encoded.append((b"content-length", b"%d" % len(body)))
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_front/limited_protocol.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_front/limited_protocol.py
@@ -1,21 +1,21 @@
-"""Hold callers' connections to the limits in force, and measure the way to them."""
+"""Apply the limits in force to callers' connections, and measure their round-trip time."""
 
 from collections.abc import Callable
 
 from geraniumlead.routes import RequestLimits
 from geraniumlead_server.bounded_protocol import BoundedProtocol
-from geraniumlead_server.forwarding_front.caller_way import measure_round_trip_ms
-from geraniumlead_server.forwarding_front.scope_keys import WAY_MS
+from geraniumlead_server.forwarding_front.caller_rtt import measure_round_trip_ms
+from geraniumlead_server.forwarding_front.scope_keys import CALLER_RTT_MS
 
 IDLE_MARGIN_S = 2.0
-"""Longer than callers were told, so that no request meets a connection that closes."""
+"""Added to the timeout that callers know, so that they do not send on a connection that closes."""
 
 
 def protocol_with_limits(limits: Callable[[], RequestLimits]) -> type[BoundedProtocol]:
-    """Return a protocol class whose limits are those in force when they are needed."""
+    """Return a protocol class that reads the limits in force each time they are needed."""
 
     class LimitedProtocol(BoundedProtocol):
-        """Take the limits of the operators' configuration."""
+        """A protocol with the limits of the operators' configuration."""
 
         _round_trip_ms: float | None = None
 
@@ -28,19 +28,20 @@
             return limits().header_timeout_ms / 1000.0
 
         def on_message_begin(self) -> None:
-            """Tell the application how long the way is.
+            """Store the caller's round-trip time in the scope of the request.
 
-            A caller that opened a connection for its request has waited a round trip more.
+            For the first request of a connection it counts twice, since the caller has waited
+            one more round trip for the connection to open.
             """
             super().on_message_begin()
             if self._round_trip_ms is None:
                 self._round_trip_ms = measure_round_trip_ms(self.transport.get_extra_info("socket"))
-                self.scope[WAY_MS] = 2.0 * self._round_trip_ms
+                self.scope[CALLER_RTT_MS] = 2.0 * self._round_trip_ms
             else:
-                self.scope[WAY_MS] = self._round_trip_ms
+                self.scope[CALLER_RTT_MS] = self._round_trip_ms
 
         def on_response_complete(self) -> None:
-            """Keep an idle connection as long as callers may count on it."""
+            """Keep an idle connection open for longer than the timeout that callers know."""
             self.timeout_keep_alive = limits().idle_timeout_ms / 1000.0 + IDLE_MARGIN_S
             super().on_response_complete()
 
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_front/balancer_question.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_front/readiness_app.py
@@ -1,8 +1,8 @@
-"""Tell the platform's balancer whether to send callers here."""
+"""ASGI application for the readiness checks of the platform's load balancer."""
 
 from geraniumlead_server.forwarding_driver import ForwardingDriver
 from geraniumlead_server.forwarding_front.asgi_reply import Send, send_reply
-from geraniumlead_server.platform import BALANCER_QUESTION
+from geraniumlead_server.platform import READINESS_PATH
 
 OK = 200
 NOT_FOUND = 404
@@ -10,15 +10,15 @@
 JSON_HEADERS = (("Content-Type", "application/json"),)
 
 
-class BalancerQuestion:
-    """Answer 200 while the instance wants callers, else 503."""
+class ReadinessApp:
+    """Answers 200 while the instance accepts callers, and 503 otherwise."""
 
     def __init__(self, driver: ForwardingDriver) -> None:
         self._driver = driver
 
     async def __call__(self, scope: dict, receive, send: Send) -> None:
         """Answer one request."""
-        if scope["path"] != BALANCER_QUESTION:
+        if scope["path"] != READINESS_PATH:
             await send_reply(send, NOT_FOUND, (), b"")
         elif self._driver.forwarder.is_ready:
             await send_reply(send, OK, JSON_HEADERS, b'{"ready":true}')
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_front/scope_keys.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_front/scope_keys.py
@@ -1,4 +1,4 @@
-"""Name what the front's protocol puts into the scope of a request, for its application."""
+"""Keys that the protocol adds to the ASGI scope of a request for the application."""
 
-WAY_MS = "geraniumlead.way_ms"
-"""The time that the request's way has taken and the reply's will take."""
+CALLER_RTT_MS = "geraniumlead.caller_rtt_ms"
+"""Time that the request took on the network and that its reply will take, together."""
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_telemetry/__init__.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_telemetry/__init__.py
@@ -1,7 +1,7 @@
 """Log and measure forwarded requests.
 
-The metrics are no part of the public names here: their library takes a quarter of a start,
-and is loaded when the process already serves.
+The metrics modules are not imported here: loading their library takes a quarter of the start-up
+time, so it is loaded when the process already serves requests.
 """
 
 from geraniumlead_server.forwarding_telemetry.decision_log import DecisionLog
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_telemetry/decision_log.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_telemetry/decision_log.py
@@ -1,17 +1,17 @@
-"""Write the forwarder's decisions within a budget of lines."""
+"""Log the forwarder's decisions at a limited rate."""
 
 import logging
 
 from geraniumlead.forwarding import LogDecision
 
-MOST_LINES_PER_S = 100.0
-"""Lines a second of one instance; one costs about 40 us, so all cost 0.4% of a core."""
+MAX_LINES_PER_S = 100.0
+"""For one instance; a line costs about 40 us, so that all cost 0.4% of a core."""
 
-QUIET_PART = 0.5
-"""Budget below which lines of ordinary answers are left out: failed and late ones are what a
-complaint is about."""
+RESERVED_BUDGET_SHARE = 0.5
+"""Share of the budget that is reserved: below it, lines of ordinary answers are skipped, since
+complaints are about failed and late ones."""
 
-KEPT_NAMES = frozenset(
+ALWAYS_LOGGED_EVENTS = frozenset(
     {
         "configuration",
         "cut_off",
@@ -21,8 +21,8 @@
         "store_regained",
     }
 )
-"""What an instance comes to believe as a whole: a few lines a second at the most, of which a
-complaint about old routes cannot spare one."""
+"""Changes of the state that an instance as a whole observes: a few lines a second at most, all of
+which are needed to investigate a complaint about old routes."""
 
 MILLISECONDS_PER_S = 1000.0
 
@@ -30,29 +30,29 @@
 
 
 class DecisionLog:
-    """Log decisions; under load the ordinary ones are counted instead.
+    """Logs decisions; under load the ordinary ones are counted instead.
 
-    Load pattern: a burst is refused, hundreds of requests a second. A line for each would
-    cost as much as the refusals. One request is one line, so it is there whole or not at all.
+    Load pattern: a burst is refused, hundreds of requests a second. A line for each would cost
+    as much as the refusals. One request is one line, so it is logged completely or not at all.
 
-    Failure: hundreds of upstreams leave in one reading, their lines use up the budget, and the
-    line of the configuration that came with them is missing from the log.
+    Failure: hundreds of upstreams leave in one read of the store, their lines use up the budget,
+    and the line of the configuration that was read with them is missing from the log.
     """
 
-    def __init__(self, now_ms: float = 0.0, lines_per_s: float = MOST_LINES_PER_S) -> None:
+    def __init__(self, now_ms: float = 0.0, lines_per_s: float = MAX_LINES_PER_S) -> None:
         self._lines_per_s = lines_per_s
         self._budget = lines_per_s
         self._refilled_ms = now_ms
         self._skipped = 0
 
     def observe(self, decision: LogDecision, now_ms: float) -> None:
-        """Write one decision, or count it."""
+        """Log one decision, or count it as skipped."""
         refill = (now_ms - self._refilled_ms) * self._lines_per_s / MILLISECONDS_PER_S
         self._budget = min(self._lines_per_s, self._budget + refill)
         self._refilled_ms = now_ms
         is_ordinary = decision.name == "request" and decision.level == "info"
-        least = self._lines_per_s * QUIET_PART if is_ordinary else 1.0
-        if self._budget < least and decision.name not in KEPT_NAMES:
+        required_budget = self._lines_per_s * RESERVED_BUDGET_SHARE if is_ordinary else 1.0
+        if self._budget < required_budget and decision.name not in ALWAYS_LOGGED_EVENTS:
             self._skipped += 1
             return
         self._budget = max(0.0, self._budget - 1.0)
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_telemetry/metrics.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_telemetry/metrics.py
@@ -9,14 +9,14 @@
 from geraniumlead.forwarding import Forwarder, LogDecision
 from geraniumlead_server.forwarding_telemetry.bounds import LATENCY_BOUNDS_MS
 
-MOST_ROUTES = 200
-"""Routes with labels of their own; a configuration that grows by hundreds shares one more."""
+MAX_LABELLED_ROUTES = 200
+"""Routes with labels of their own; when a configuration grows by hundreds, the others share one."""
 
 OTHER_ROUTES = "other"
 
 
 class ForwardingMetrics:
-    """Count requests by route, status and reason, and their latencies by route."""
+    """Counts requests by route and status, and records their latencies by route."""
 
     def __init__(
         self, forwarder: Forwarder, reader: MetricReader, now_ms: Callable[[], float]
@@ -34,7 +34,7 @@
         self._requests = meter.create_counter("geraniumlead_forwarded_requests")
         self._extra = meter.create_counter("geraniumlead_extra_attempts")
         self._missing = meter.create_counter("geraniumlead_missing_shards")
-        self._beliefs = meter.create_counter("geraniumlead_view_changes")
+        self._view_changes = meter.create_counter("geraniumlead_view_changes")
         for name, read in (
             ("geraniumlead_open_requests", lambda: forwarder.open_requests),
             ("geraniumlead_ready", lambda: int(forwarder.is_ready)),
@@ -48,7 +48,7 @@
         """Record one decision."""
         fields = decision.fields
         if decision.name != "request":
-            self._beliefs.add(1, {"change": decision.name})
+            self._view_changes.add(1, {"change": decision.name})
             return
         labels = {"route": self._label_of(fields.get("route", "none"))}
         status = str(fields.get("status", "none"))
@@ -63,7 +63,7 @@
     def _label_of(self, route: str) -> str:
         if route in self._routes:
             return route
-        if len(self._routes) >= MOST_ROUTES:
+        if len(self._routes) >= MAX_LABELLED_ROUTES:
             return OTHER_ROUTES
         self._routes.add(route)
         return route
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_telemetry/page.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_telemetry/page.py
@@ -11,9 +11,9 @@
 
 
 class MetricsPage:
-    """Render the process's metrics when they are asked for.
+    """Renders the metrics of the process on request.
 
-    It is an ASGI application of its own, and a falcon resource among the operators' pages.
+    It is both an ASGI application and a falcon resource of the operators' application.
     """
 
     def __init__(self) -> None:
@@ -33,5 +33,5 @@
         response.data = generate_latest(REGISTRY)
 
     def close(self) -> None:
-        """Take the reader out of the registry, so that another page may follow in a process."""
+        """Unregister the reader, so that the process may create another page."""
         self.reader.shutdown()
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform/__init__.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform/__init__.py
@@ -1,8 +1,8 @@
-"""Speak the users' platform: names, formats and calls, and nothing that decides."""
+"""Names, formats and calls of the users' platform; no decisions are made here."""
 
 from geraniumlead_server.platform.answers import attempt_headers, read_answer
 from geraniumlead_server.platform.names import (
-    BALANCER_QUESTION,
+    READINESS_PATH,
     REQUEST_ID_HEADER,
 )
 from geraniumlead_server.platform.replies import reply_headers
@@ -15,7 +15,7 @@
 )
 
 __all__ = [
-    "BALANCER_QUESTION",
+    "READINESS_PATH",
     "REQUEST_ID_HEADER",
     "BadRequest",
     "HistoryGoneError",
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform/answers.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform/answers.py
@@ -1,4 +1,4 @@
-"""Write requests to upstreams and read what they answer."""
+"""Build the headers of requests to upstreams, and interpret the answers."""
 
 from collections.abc import Iterable
 
@@ -27,7 +27,7 @@
 def attempt_headers(
     request: ForwardedRequest, upstream_id: str, time_left_ms: float
 ) -> list[tuple[str, str]]:
-    """Return the headers of one attempt."""
+    """Return the headers of one attempt at an upstream."""
     return [
         *request.headers,
         (WAIT_HEADER, str(max(1, int(time_left_ms)))),
@@ -38,23 +38,23 @@
 def read_answer(
     request: ForwardedRequest, status: int, headers: Iterable[tuple[str, str]], body: bytes
 ) -> AttemptResult:
-    """Return what an upstream's whole answer means."""
-    kept = []
-    found: dict[str, str] = {}
+    """Return the result of an attempt from the upstream's complete answer."""
+    forwarded_headers = []
+    values: dict[str, str] = {}
     for name, value in headers:
         lower = name.lower()
-        found[lower] = value
+        values[lower] = value
         if lower not in CONNECTION_HEADERS:
-            kept.append((name, value))
+            forwarded_headers.append((name, value))
     if status == OTHER_UPSTREAM_STATUS:
         return NotExecuted(status, is_other_upstream=True)
-    if _NOT_EXECUTED in found:
+    if _NOT_EXECUTED in values:
         return NotExecuted(status)
-    if found.get(_REQUEST_ID, request.request_id) != request.request_id:
+    if values.get(_REQUEST_ID, request.request_id) != request.request_id:
         return PossiblyExecuted("answer to another request")
-    if "content-encoding" in found:
+    if "content-encoding" in values:
         return PossiblyExecuted("encoded answer")
-    signature = found.get(_SIGNATURE)
+    signature = values.get(_SIGNATURE)
     if 200 <= status < 300 and not signature:
         return PossiblyExecuted("success without signature")
-    return Completed(status, tuple(kept), body, signature)
+    return Completed(status, tuple(forwarded_headers), body, signature)
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform/names.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform/names.py
@@ -1,11 +1,11 @@
-"""Name the headers, paths and keys of the platform."""
+"""Headers, paths, keys and statuses of the platform."""
 
 REQUEST_ID_HEADER = "Request-Id"
 WAIT_HEADER = "Deadline-Ms"
-"""How long the caller waits, in milliseconds from now; no point in time, as its name says."""
+"""How long the caller waits, in milliseconds from now; despite its name not a point in time."""
 
 UPSTREAM_ID_HEADER = "Expect-Instance"
-"""Id of the upstream that is meant; what it calls an instance is our upstream."""
+"""Id of the upstream that a request is meant for; the platform calls upstreams instances."""
 
 SIGNATURE_HEADER = "Response-Stamp"
 NOT_EXECUTED_HEADER = "Not-Executed"
@@ -13,7 +13,7 @@
 MISSING_PARTS_HEADER = "Missing-Parts"
 RETRY_AFTER_HEADER = "Retry-After"
 
-BALANCER_QUESTION = "/-/readyz"
+READINESS_PATH = "/-/readyz"
 RANGE_PATH = "/-/kv-range"
 WATCH_PATH = "/-/kv-watch"
 
@@ -38,4 +38,4 @@
         "content-length",
     }
 )
-"""Headers that concern one connection only; the length is set anew for each."""
+"""Hop-by-hop headers, and the length, which is set again for each connection."""
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform/replies.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform/replies.py
@@ -1,4 +1,4 @@
-"""Write the headers of replies to callers."""
+"""Build the headers of replies to callers."""
 
 from geraniumlead.forwarding import MergedReply, OwnReply, RelayedReply, Reply
 from geraniumlead_server.platform.names import (
@@ -12,7 +12,7 @@
 
 
 def reply_headers(reply: Reply, request_id: str) -> list[tuple[str, str]]:
-    """Return all headers of a reply but those of its connection."""
+    """Return all headers of a reply except the hop-by-hop ones."""
     match reply:
         case RelayedReply(answer=answer):
             return list(answer.headers)
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform/requests.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform/requests.py
@@ -1,4 +1,4 @@
-"""Read callers' requests."""
+"""Parse callers' requests."""
 
 from dataclasses import dataclass
 
@@ -12,28 +12,28 @@
 
 _REQUEST_ID = REQUEST_ID_HEADER.lower()
 _WAIT = WAIT_HEADER.lower()
-_OWN_HEADERS = CONNECTION_HEADERS | {_WAIT, UPSTREAM_ID_HEADER.lower(), "expect"}
-"""Not passed on as they came: this instance sets them, or answers them itself."""
+_DROPPED_HEADERS = CONNECTION_HEADERS | {_WAIT, UPSTREAM_ID_HEADER.lower(), "expect"}
+"""Headers that are not forwarded: this instance sets its own values, or handles them itself."""
 
 BAD_REQUEST = 400
 
 
 @dataclass(frozen=True, slots=True)
 class BadRequest:
-    """Say why a request cannot be taken."""
+    """The status and reason with which an invalid request is refused."""
 
     status: int
     reason: str
 
 
 def read_request(
-    key: int, scope: dict, body: bytes, arrived_ms: float, way_ms: float
+    key: int, scope: dict, body: bytes, arrived_ms: float, caller_rtt_ms: float
 ) -> ForwardedRequest | BadRequest:
-    """Return the request of an ASGI scope, with its target as the caller sent it."""
+    """Return the request in an ASGI scope, with its target exactly as the caller sent it."""
     headers = []
     host = request_id = ""
     wait_ms = None
-    named = _named_by_connection(scope["headers"])
+    connection_options = _connection_options(scope["headers"])
     for raw_name, raw_value in scope["headers"]:
         name, value = raw_name.decode("latin-1"), _read_text(raw_value)
         if name == "host":
@@ -42,7 +42,7 @@
             request_id = value
         elif name == _WAIT:
             wait_ms = _read_milliseconds(value)
-        if name not in _OWN_HEADERS and name not in named:
+        if name not in _DROPPED_HEADERS and name not in connection_options:
             headers.append((name, value))
     if not request_id:
         return BadRequest(BAD_REQUEST, f"the header {REQUEST_ID_HEADER} is missing")
@@ -59,19 +59,19 @@
         body=body,
         arrived_ms=arrived_ms,
         wait_ms=wait_ms,
-        caller_rtt_ms=way_ms,
+        caller_rtt_ms=caller_rtt_ms,
     )
 
 
-def _named_by_connection(headers: list[tuple[bytes, bytes]]) -> frozenset[str]:
-    """Return the headers that the caller declared to concern this connection only."""
+def _connection_options(headers: list[tuple[bytes, bytes]]) -> frozenset[str]:
+    """Return the names of the headers that the caller's Connection header makes hop-by-hop."""
     values = [value for name, value in headers if name == b"connection"]
     names = b",".join(values).decode("latin-1").lower().split(",")
     return frozenset(name.strip() for name in names)
 
 
 def _read_text(value: bytes) -> str:
-    """Return a header's value; aiohttp writes it as UTF-8 again."""
+    """Return a header's value, decoded as UTF-8 if possible; aiohttp encodes it as UTF-8 again."""
     try:
         return value.decode()
     except UnicodeDecodeError:
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform/store_client.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform/store_client.py
@@ -1,4 +1,4 @@
-"""Call the platform's store."""
+"""Client of the platform's store."""
 
 import logging
 
@@ -15,39 +15,39 @@
     UPSTREAM_PREFIX,
     WATCH_PATH,
 )
-from geraniumlead_server.platform.store_records import Unreadable, read_item
+from geraniumlead_server.platform.store_records import UnreadableValue, read_item
 
 CONNECT_TIMEOUT_S = 0.5
-MOST_RELAYED_BYTES = 400_000
-"""Size of a value up to which instances pass it on to each other, some 30 KB compressed: a larger
-configuration to ten others would fill a slow link for a second."""
+MAX_RELAYED_BYTES = 400_000
+"""Largest value that instances relay to each other, some 30 KB compressed: a larger configuration
+sent to ten others would saturate a slow link for a second."""
 
 FULL_REPLY_EVENTS = 400
-"""Changes in one reply from which on there are more: the store cuts a reply at about 500 items."""
+"""A reply with this many changes counts as truncated: the store limits one to about 500 items."""
 
 FULL_REPLY_BYTES = 700_000
-"""The same by size in base64, counting one more change as large as the largest: a reply is cut at
-about 1 MB, before the change that does not fit."""
+"""The same by size in base64, including one more change as large as the largest: the store limits
+a reply to about 1 MB and stops before the change that does not fit."""
 
 BASE64_GROWTH = 4.0 / 3.0
 
 ALL_KEYS = ""
-"""Prefix of every key. Read one by one, the two prefixes in use cost a start one more way to the
-store and back, 40 ms from another region, in which callers wait."""
+"""Prefix of every key. Reading the two prefixes in use one by one would cost a start one more round
+trip to the store, 40 ms from another region, in which callers wait."""
 
 logger = logging.getLogger("geraniumlead")
 
 
 class StoreError(Exception):
-    """Raised when the store gave no usable answer."""
+    """Raised when the store gives no usable answer."""
 
 
 class HistoryGoneError(StoreError):
-    """Raised when the store no longer knows what changed since a revision."""
+    """Raised when the store no longer has the changes since a revision."""
 
 
 class ItemBody(Struct, rename="camel"):
-    """Be a key, or its deletion; JSON text carries the value in base64."""
+    """A key and its value, or its deletion; in JSON the value is base64."""
 
     key: str
     revision: int
@@ -56,7 +56,7 @@
 
 
 class RangeBody(Struct):
-    """Be a page of keys. ``currentRev`` is the store's own revision."""
+    """A page of keys. ``currentRev`` is the current revision of the whole store."""
 
     items: list[ItemBody]
     revision: int = field(name="currentRev")
@@ -64,20 +64,20 @@
 
 
 class WatchBody(Struct):
-    """Be what has changed."""
+    """The changes that a watch returns."""
 
     events: list[ItemBody]
     revision: int = field(name="currentRev")
 
 
 class StoreChanges(Struct, frozen=True):
-    """Hold what changed, and the revision up to which; with ``has_more`` that is not the latest.
+    """Changes up to a revision; with ``has_more`` that is not the latest revision.
 
-    ``relayed`` says the same to other instances. ``waited_ms`` is how long the store waited
-    for a change at the least: 0 when there was one.
+    ``relayed`` is the message with the same changes for other instances. ``waited_ms`` is the
+    shortest time that the store waited for a change: 0 when there was one.
     """
 
-    news: tuple[PublishedUpdate, ...]
+    updates: tuple[PublishedUpdate, ...]
     revision: int
     has_more: bool
     relayed: StoreNews
@@ -89,22 +89,23 @@
 
 
 class StoreClient:
-    """Read keys and wait for changes, over one address."""
+    """Reads keys and watches for changes, at one address of the store."""
 
     def __init__(self, address: str) -> None:
-        self._base = f"http://{address}"
+        self._base_url = f"http://{address}"
         self._session: ClientSession | None = None
         self._revisions: dict[str, int] = {}
-        self._known: dict[str, PublishedUpdate] = {}
-        self._held: dict[str, RelayedItem] = {}
-        self._unreadable: set[tuple[str, str]] = set()
+        self._updates_by_key: dict[str, PublishedUpdate] = {}
+        self._items_by_key: dict[str, RelayedItem] = {}
+        self._logged_unreadable: set[tuple[str, str]] = set()
 
     async def read_all(self, timeout_ms: float) -> tuple[tuple[PublishedUpdate, ...], int]:
-        """Return everything that stands in the store, and the revision to watch from.
+        """Return the whole content of the store, and the revision to watch from.
 
-        ``timeout_ms`` is for each page.
+        ``timeout_ms`` applies to each page.
 
-        The pages are no snapshot: what changes meanwhile is in the watch that follows.
+        The pages are not a consistent snapshot: the watch that follows returns what changes
+        meanwhile.
         """
         items: list[ItemBody] = []
         first_revision = None
@@ -115,39 +116,40 @@
             first_revision = page.revision if first_revision is None else first_revision
             items += page.items
             if not page.truncated or not page.items:
-                return self._read_anew(items), first_revision
+                return self._read_full_state(items), first_revision
             after = page.items[-1].key
 
     async def watch(self, revision: int, wait_ms: int, slack_ms: float) -> StoreChanges:
-        """Return what changed after a revision; raises HistoryGoneError when that is unknown.
+        """Return the changes after a revision.
 
-        ``slack_ms`` is how much longer than its wait the call may take.
+        Raises HistoryGoneError when the store no longer has them. ``slack_ms`` is how much longer
+        than its wait the call may take.
         """
         query = {"prefix": ALL_KEYS, "after": str(revision), "waitMs": str(wait_ms)}
         timeout_s = (wait_ms + slack_ms) / 1000.0
-        found = await self._call(WATCH_PATH, query, timeout_s, _WATCH)
-        news, changed = self._read_items(found.events)
+        body = await self._call(WATCH_PATH, query, timeout_s, _WATCH)
+        updates, changed = self._read_items(body.events)
         return StoreChanges(
-            news=tuple(news),
-            revision=found.revision,
-            has_more=_is_full(found.events),
-            relayed=_relayed(revision, found.revision, changed),
-            waited_ms=0.0 if found.events else float(wait_ms),
+            updates=tuple(updates),
+            revision=body.revision,
+            has_more=_may_be_truncated(body.events),
+            relayed=_build_relayed_updates(revision, body.revision, changed),
+            waited_ms=0.0 if body.events else float(wait_ms),
         )
 
     def read_relayed(self, relayed: StoreNews) -> tuple[PublishedUpdate, ...]:
-        """Return what another instance has read."""
+        """Return the updates in a message of another instance."""
         items = [
             ItemBody(item.key, item.revision, item.value, item.value is None)
             for item in relayed.items
         ]
         if relayed.is_state:
-            return self._read_anew(items)
+            return self._read_full_state(items)
         return tuple(self._read_items(items)[0])
 
-    def tell_state(self, revision: int) -> StoreNews:
-        """Return for other instances all that stood in the store at a revision, or after it."""
-        return StoreNews(revision, revision, tuple(self._held.values()), is_state=True)
+    def export_state(self, revision: int) -> StoreNews:
+        """Return the state of the store at a revision, or after it, as a message for peers."""
+        return StoreNews(revision, revision, tuple(self._items_by_key.values()), is_state=True)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -160,7 +162,7 @@
         timeout = ClientTimeout(total=timeout_s, sock_connect=CONNECT_TIMEOUT_S)
         try:
             async with self._session.get(
-                self._base + path, params=query, timeout=timeout
+                self._base_url + path, params=query, timeout=timeout
             ) as response:
                 body = await response.read()
         except (ClientError, OSError, TimeoutError) as error:
@@ -174,68 +176,71 @@
         except (DecodeError, ValidationError) as error:
             raise StoreError(str(error)) from error
 
-    def _read_anew(self, items: list[ItemBody]) -> tuple[PublishedUpdate, ...]:
+    def _read_full_state(self, items: list[ItemBody]) -> tuple[PublishedUpdate, ...]:
         self._revisions.clear()
-        self._known.clear()
-        self._held.clear()
+        self._updates_by_key.clear()
+        self._items_by_key.clear()
         return tuple(self._read_items(items)[0])
 
     def _read_items(self, items: list[ItemBody]) -> tuple[list[PublishedUpdate], list[ItemBody]]:
-        """Return what items say that was not known, and the items that said so."""
-        found, changed = [], []
+        """Return the updates that are new to this client, and the items that hold them."""
+        updates, changed = [], []
         for item in items:
-            # Pages of one reading differ in age: a watch from the first repeats what the last
-            # page knew already, and would turn an upstream back to what it was.
+            # Pages of one read differ in age: a watch from the revision of the first page repeats
+            # changes that the last page contains, and would revert an upstream to an older state.
             if item.revision < self._revisions.get(item.key, 0):
                 continue
             self._revisions[item.key] = item.revision
-            news = self._read_one(item)
-            if news is not None and news != self._known.get(item.key):
-                self._known[item.key] = news
-                self._held[item.key] = RelayedItem(item.key, item.revision, item.value)
-                found.append(news)
+            update = self._read_item(item)
+            if update is not None and update != self._updates_by_key.get(item.key):
+                self._updates_by_key[item.key] = update
+                self._items_by_key[item.key] = RelayedItem(item.key, item.revision, item.value)
+                updates.append(update)
                 changed.append(item)
             if item.deleted:
-                self._known.pop(item.key, None)
-                self._held.pop(item.key, None)
-        return found, changed
-
-    def _read_one(self, item: ItemBody) -> PublishedUpdate | None:
-        news = read_item(item.key, None if item.deleted else item.value)
-        if not isinstance(news, Unreadable):
-            return news
-        self._log_unreadable(news)
-        if news.key.startswith(UPSTREAM_PREFIX):
-            return UpstreamWithdrawn(news.key.removeprefix(UPSTREAM_PREFIX))
+                self._updates_by_key.pop(item.key, None)
+                self._items_by_key.pop(item.key, None)
+        return updates, changed
+
+    def _read_item(self, item: ItemBody) -> PublishedUpdate | None:
+        update = read_item(item.key, None if item.deleted else item.value)
+        if not isinstance(update, UnreadableValue):
+            return update
+        self._log_unreadable(update)
+        if update.key.startswith(UPSTREAM_PREFIX):
+            return UpstreamWithdrawn(update.key.removeprefix(UPSTREAM_PREFIX))
         return None
 
-    def _log_unreadable(self, unreadable: Unreadable) -> None:
+    def _log_unreadable(self, unreadable: UnreadableValue) -> None:
         seen = (unreadable.key, unreadable.reason)
-        if seen in self._unreadable:
+        if seen in self._logged_unreadable:
             return
-        if len(self._unreadable) > 1000:
-            self._unreadable.clear()
-        self._unreadable.add(seen)
+        if len(self._logged_unreadable) > 1000:
+            self._logged_unreadable.clear()
+        self._logged_unreadable.add(seen)
         fields = {"key": unreadable.key, "reason": unreadable.reason}
         logger.warning("entry_skipped", extra={"fields": fields})
 
 
-def _relayed(from_revision: int, to_revision: int, items: list[ItemBody]) -> StoreNews:
-    small = [item for item in items if len(item.value or b"") <= MOST_RELAYED_BYTES]
+def _build_relayed_updates(
+    from_revision: int, to_revision: int, items: list[ItemBody]
+) -> StoreNews:
+    relayable = [item for item in items if len(item.value or b"") <= MAX_RELAYED_BYTES]
     return StoreNews(
         from_revision,
         to_revision,
-        tuple(RelayedItem(item.key, item.revision, item.value) for item in small),
-        is_cut=len(small) < len(items),
+        tuple(RelayedItem(item.key, item.revision, item.value) for item in relayable),
+        is_cut=len(relayable) < len(items),
     )
 
 
-def _is_full(events: list[ItemBody]) -> bool:
-    """Return whether the store may have cut a reply, so that the rest has to be asked for.
+def _may_be_truncated(events: list[ItemBody]) -> bool:
+    """Return whether the store may have truncated a reply, so that the rest has to be requested.
 
-    Failure: configurations of 400 KB come in quick succession, and one or two fill a reply. Only
-    what was left out shows the cut; with a pause after each reply the view fell behind by more
-    than its bound. The next configuration is about as large as the last.
+    Failure: configurations of 400 KB are written in quick succession, and one or two fill a reply.
+    The reply does not say that it is truncated; with a pause after each one the view falls behind
+    by more than its bound. The next configuration is expected to be about as large as the largest
+    in the reply.
     """
     if len(events) >= FULL_REPLY_EVENTS:
         return True
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform/store_records.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform/store_records.py
@@ -1,4 +1,4 @@
-"""Decode what stands in the platform's store."""
+"""Decode the values in the platform's store."""
 
 from typing import Annotated, Literal
 
@@ -32,14 +32,14 @@
 
 Name = Annotated[str, Meta(min_length=1)]
 Address = Annotated[str, Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
-NotNegative = Annotated[float, Meta(ge=0)]
+NonNegative = Annotated[float, Meta(ge=0)]
 
 SAFE = "safe"
 READY = "ready"
 
 
 class ServerBody(Struct, rename="camel"):
-    """Be an upstream's entry. Its ``version`` is that of its software; it is not used."""
+    """An upstream's entry. ``version`` is its software version, which is not used."""
 
     service: Name
     addr: Address
@@ -48,21 +48,21 @@
     state: Literal["ready", "draining"]
     seq: int
     version: str
-    warmup_left_ms: NotNegative = 0.0
+    warmup_left_ms: NonNegative = 0.0
     born: int | None = None
 
 
 class WeightBody(Struct):
-    """Be one service of a split route."""
+    """One service of a split route, and its weight."""
 
     service: Name
-    weight: NotNegative
+    weight: NonNegative
 
 
 class RouteBody(Struct, rename="camel"):
-    """Be a route. ``type`` says whether requests may be repeated.
+    """A route. ``type`` says whether requests may be repeated.
 
-    ``oldest_version`` is no version: it is the least share of the shards in an answer.
+    ``oldest_version`` is not a version, but the smallest share of the shards in an answer.
     ``fanout`` lists the shards.
     """
 
@@ -70,9 +70,9 @@
     hostname: str
     prefix: str
     type: str
-    timeout_ms: NotNegative
+    timeout_ms: NonNegative
     max_attempts: Annotated[int, Meta(ge=1)]
-    latency_goal_ms: NotNegative = 0.0
+    latency_goal_ms: NonNegative = 0.0
     priority: int = 0
     service: Name | None = None
     traffic_split: list[WeightBody] | None = None
@@ -83,19 +83,20 @@
 
 
 class ServiceBody(Struct, rename="camel"):
-    """Be a service. ``max_conns`` counts the connections of all callers together.
+    """A service. ``max_conns`` limits the connections of all callers together.
 
-    ``warmup_per_s`` is what a cold upstream takes each second, from all callers; 0 sets no bound.
+    ``warmup_per_s`` is how many requests a cold upstream accepts each second from all callers
+    together; 0 means no limit.
     """
 
     name: Name
     max_conns: Annotated[int, Meta(ge=0)] = 0
-    warmup_per_s: NotNegative = 0.0
-    warmup_s: NotNegative = 0.0
+    warmup_per_s: NonNegative = 0.0
+    warmup_s: NonNegative = 0.0
 
 
 class LimitsBody(Struct, rename="camel", frozen=True):
-    """Be the limits on what a caller sends."""
+    """Limits on callers' requests and connections."""
 
     max_header_bytes: int = RequestLimits().header_bytes
     max_body_bytes: int = RequestLimits().body_bytes
@@ -104,7 +105,7 @@
 
 
 class ConfigurationBody(Struct, rename="camel"):
-    """Be the operators' configuration."""
+    """The operators' configuration."""
 
     version: int
     routes: list[RouteBody]
@@ -116,15 +117,15 @@
 _CONFIGURATION = Decoder(ConfigurationBody)
 
 
-class Unreadable(Struct, frozen=True):
-    """Say why the value of a key was not understood."""
+class UnreadableValue(Struct, frozen=True):
+    """A value that could not be decoded, and the reason."""
 
     key: str
     reason: str
 
 
-def read_item(key: str, value: bytes | None) -> PublishedUpdate | Unreadable | None:
-    """Return what a key's value says; None for keys of no interest.
+def read_item(key: str, value: bytes | None) -> PublishedUpdate | UnreadableValue | None:
+    """Return the update in a key's value; None for keys that are not used.
 
     ``value`` is None when the key was deleted.
     """
@@ -140,11 +141,11 @@
     return None
 
 
-def _read_upstream(key: str, upstream_id: str, value: bytes) -> PublishedUpdate | Unreadable:
+def _read_upstream(key: str, upstream_id: str, value: bytes) -> PublishedUpdate | UnreadableValue:
     try:
         body = _SERVER.decode(value)
     except (DecodeError, ValidationError, UnicodeDecodeError, RecursionError) as error:
-        return Unreadable(key, str(error))
+        return UnreadableValue(key, str(error))
     return UpstreamSeen(
         UpstreamRecord(
             upstream_id=upstream_id,
@@ -159,12 +160,12 @@
     )
 
 
-def _read_configuration(value: bytes) -> PublishedUpdate | Unreadable:
+def _read_configuration(value: bytes) -> PublishedUpdate | UnreadableValue:
     try:
         body = _CONFIGURATION.decode(value)
         routes = RouteTable([_read_route(route) for route in body.routes])
     except (DecodeError, ValidationError, UnicodeDecodeError, RecursionError) as error:
-        return Unreadable(CONFIGURATION_KEY, str(error))
+        return UnreadableValue(CONFIGURATION_KEY, str(error))
     services = {
         found.name: UpstreamService(
             name=found.name,
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_daemon.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_daemon.py
@@ -27,50 +27,51 @@
 from geraniumlead_server.forwarding_client import AttemptClient
 from geraniumlead_server.forwarding_driver import ForwardingDriver
 from geraniumlead_server.forwarding_front import (
-    BalancerQuestion,
     ForwardingApp,
+    ReadinessApp,
     protocol_with_limits,
 )
 from geraniumlead_server.forwarding_telemetry import DecisionLog, load_metrics_libraries
 from geraniumlead_server.peer_transport import PeerCodec, PeerTransport
 from geraniumlead_server.platform import StoreClient
 from geraniumlead_server.platform_main import load_platform_settings
-from geraniumlead_server.store_duty import StoreDuty
+from geraniumlead_server.store_callbacks import StoreCallbacks
 from geraniumlead_server.store_follower import StoreFollower
 from geraniumlead_server.web_server import WebServer
 
-SPARE_CONNECTIONS = 2_000
-"""Callers' connections; with two upstream connections each they stay below 4,100 descriptors."""
+MAX_CALLER_CONNECTIONS = 2_000
+"""With two upstream connections each, these stay below 4,100 file descriptors."""
 
-OTHER_CONNECTIONS = 50
+MAX_OTHER_CONNECTIONS = 50
 
-NOTICE_PART = 0.4
-"""Part of the time for a stop in which new requests are still taken: the balancer asks once a
-second and believes the second refusal, and callers on open connections are told to leave."""
+STOP_NOTICE_SHARE = 0.4
+"""Share of the shutdown time in which new requests are still accepted. The balancer checks
+readiness once a second and stops sending callers after the second refusal; replies on open
+connections meanwhile ask callers to close them."""
 
-END_PART = 0.84
-"""Part of the time for a stop after which open requests get their last answer."""
+LAST_REPLY_SHARE = 0.84
+"""Share of the shutdown time after which open requests get their final reply."""
 
-CLOSE_PART = 0.9
-"""Part of the time for a stop after which callers' connections are no longer waited for; the
-rest is for leaving the process."""
+CONNECTION_CLOSE_SHARE = 0.9
+"""Share of the shutdown time after which callers' connections are no longer waited for; the rest
+is for the exit of the process."""
 
-FIRST_VIEW_S = 0.4
-"""Longest wait for the store's first answer before callers are read, and refused if need be;
-the store answers in some milliseconds, and callers leave after a second."""
+MAX_FIRST_VIEW_WAIT_S = 0.4
+"""Longest wait for the store's first answer before requests are read, and refused if necessary;
+the store answers in some milliseconds, and callers disconnect after a second."""
 
-FIRST_VIEW_LOOK_S = 0.01
+FIRST_VIEW_CHECK_INTERVAL_S = 0.01
 
-SETTINGS_CHECK_S = 1.0
+SETTINGS_CHECK_INTERVAL_S = 1.0
 
 METRICS_DELAY_S = 8.0
-"""Longer than callers' queues need to clear after a loss of power."""
+"""Longer than the callers' queues take to clear after a power failure."""
 
 logger = logging.getLogger("geraniumlead")
 
 
 class PlatformDaemon:
-    """Run one instance until it was asked to stop and its work has ended."""
+    """Runs one instance until it is asked to stop and its requests have ended."""
 
     def __init__(self, settings: PlatformSettings, path: Path, listener: socket.socket) -> None:
         self._settings = settings
@@ -93,7 +94,7 @@
         self._store = StoreClient(self._settings.store)
         self._peers = PeerTransport(
             self._settings,
-            self._hear,
+            self._handle_message,
             None,
             PeerCodec(encode_peering, decode_peering),
         )
@@ -104,7 +105,7 @@
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
         background = [
             self._loop.create_task(self._follow_store()),
-            self._loop.create_task(self._watch_settings()),
+            self._loop.create_task(self._poll_settings()),
             self._loop.create_task(self._serve_metrics()),
         ]
         ready_task = servers[1].start()
@@ -123,14 +124,14 @@
         logger.info("stopped")
 
     async def _wait_for_first_view(self) -> None:
-        """Let callers wait in the socket's queue until it is known where to send them.
+        """Wait until routes and upstreams are known; callers stay in the socket's backlog.
 
-        Read at once, those who came while the program was loading would all be refused some
-        milliseconds before the store's first answer.
+        If they were read at once, all requests that arrived while the program was loading would
+        be refused some milliseconds before the store's first answer.
         """
-        until_s = self._loop.time() + FIRST_VIEW_S
+        until_s = self._loop.time() + MAX_FIRST_VIEW_WAIT_S
         while not self._driver.forwarder.is_ready and self._loop.time() < until_s:
-            await asyncio.sleep(FIRST_VIEW_LOOK_S)
+            await asyncio.sleep(FIRST_VIEW_CHECK_INTERVAL_S)
 
     def _build_servers(self) -> list[WebServer]:
         log = DecisionLog(self._driver.now_ms())
@@ -138,17 +139,18 @@
         listen = self._settings.listen
         front = ForwardingApp(self._driver)
         protocol = protocol_with_limits(lambda: self._driver.limits)
-        ready = BalancerQuestion(self._driver)
+        ready = ReadinessApp(self._driver)
         return [
-            WebServer.from_address(front, listen.callers, SPARE_CONNECTIONS, protocol),
-            WebServer.from_address(ready, listen.ready, OTHER_CONNECTIONS),
+            WebServer.from_address(front, listen.callers, MAX_CALLER_CONNECTIONS, protocol),
+            WebServer.from_address(ready, listen.ready, MAX_OTHER_CONNECTIONS),
         ]
 
     async def _serve_metrics(self) -> None:
         """Serve the metrics page, some time after the start.
 
-        Their library takes a quarter of a start. After a loss of power callers wait for the
-        first instance that listens; nobody reads metrics in its first seconds.
+        Loading the metrics library takes a quarter of the start-up time. After a power failure
+        callers wait for the first instance that listens, and metrics are not read in its first
+        seconds.
         """
         await asyncio.sleep(METRICS_DELAY_S)
         await load_metrics_libraries()
@@ -159,31 +161,31 @@
         metrics = ForwardingMetrics(self._driver.forwarder, page.reader, self._driver.now_ms)
         self._driver.observers.append(metrics.observe)
         address = self._settings.listen.metrics
-        server = WebServer.from_address(page, address, OTHER_CONNECTIONS)
+        server = WebServer.from_address(page, address, MAX_OTHER_CONNECTIONS)
         await server.serve()
 
     async def _follow_store(self) -> None:
         bounds = self._settings.bounds
         bound_ms = min(bounds.drain_ms, bounds.configuration_ms, bounds.evacuation_ms)
         forwarder = self._driver.forwarder
-        duty = StoreDuty(
+        callbacks = StoreCallbacks(
             is_watcher=lambda: forwarder.store_watch.is_watcher(self._driver.now_ms()),
             has_readers=lambda: bool(forwarder.store_watch.readers(self._driver.now_ms())),
-            relay=self._relay_store_news,
-            ask_state=self._ask_state,
+            relay=self._relay_store_updates,
+            request_state=self._request_state,
             lacks_upstreams=lambda: forwarder.published.lacks_upstreams,
         )
         self._follower = StoreFollower(
-            self._store, bound_ms, self._driver.handle, self._random, duty
+            self._store, bound_ms, self._driver.handle, self._random, callbacks
         )
         await self._follower.run()
 
-    def _relay_store_news(self, news: StoreNews) -> None:
+    def _relay_store_updates(self, updates: StoreNews) -> None:
         for peer in self._driver.forwarder.store_watch.readers(self._driver.now_ms()):
             contact = peer.contact
-            self._peers.send(PeerLetter(contact.instance_id, contact.address, news))
+            self._peers.send(PeerLetter(contact.instance_id, contact.address, updates))
 
-    def _ask_state(self, beyond_revision: int | None) -> None:
+    def _request_state(self, beyond_revision: int | None) -> None:
         store_watch = self._driver.forwarder.store_watch
         peer = store_watch.informant(self._driver.now_ms(), self._random)
         if peer is None:
@@ -193,52 +195,54 @@
         message = StateWanted(beyond_revision)
         self._peers.send(PeerLetter(contact.instance_id, contact.address, message))
 
-    def _tell_state(self, sender_id: str, beyond_revision: int | None) -> None:
+    def _send_state(self, sender_id: str, beyond_revision: int | None) -> None:
         peer = self._driver.forwarder.store_watch.peer(sender_id)
-        news = None if self._follower is None else self._follower.tell_state(beyond_revision)
-        if peer is not None and news is not None:
-            self._peers.send(PeerLetter(sender_id, peer.contact.address, news))
+        updates = (
+            None if self._follower is None else self._follower.build_state_reply(beyond_revision)
+        )
+        if peer is not None and updates is not None:
+            self._peers.send(PeerLetter(sender_id, peer.contact.address, updates))
 
-    def _hear(self, sender_id: str, message: PeeringMessage) -> None:
+    def _handle_message(self, sender_id: str, message: PeeringMessage) -> None:
         match message:
             case StoreNews():
-                self._take_relayed(sender_id, message)
+                self._handle_relayed(sender_id, message)
             case StateWanted(beyond_revision=beyond_revision):
-                self._tell_state(sender_id, beyond_revision)
+                self._send_state(sender_id, beyond_revision)
             case _:
                 self._driver.handle(PeerHeard(sender_id, message))
 
-    def _take_relayed(self, sender_id: str, news: StoreNews) -> None:
+    def _handle_relayed(self, sender_id: str, updates: StoreNews) -> None:
         if self._follower is None:
             return
         peer = self._driver.forwarder.store_watch.peer(sender_id)
         delay_ms = 0.0
-        if peer is not None and news.sent_ms is not None:
-            delay_ms = peer.delay_ms(news.sent_ms, self._driver.now_ms())
-        self._follower.take_relayed(news, sender_id, delay_ms)
+        if peer is not None and updates.sent_ms is not None:
+            delay_ms = peer.delay_ms(updates.sent_ms, self._driver.now_ms())
+        self._follower.handle_relayed(updates, sender_id, delay_ms)
 
     async def _stop(self, servers: list[WebServer], tasks: list[asyncio.Task]) -> None:
-        """Leave the balancer, take what still comes for a while, and end what is open."""
+        """Report not ready, accept new requests for a while, and end all open requests."""
         forwarder = self._driver.forwarder
         logger.info("stopping", extra={"fields": {"open_requests": forwarder.open_requests}})
         self._driver.carry_out_all(forwarder.stop(self._driver.now_ms()))
         began_s = self._loop.time()
         stop_s = self._settings.bounds.stop_s
-        await asyncio.sleep(NOTICE_PART * stop_s)
+        await asyncio.sleep(STOP_NOTICE_SHARE * stop_s)
         servers[0].should_exit = True
-        while forwarder.open_requests and self._loop.time() - began_s < END_PART * stop_s:
+        while forwarder.open_requests and self._loop.time() - began_s < LAST_REPLY_SHARE * stop_s:
             await asyncio.sleep(0.05)
         self._driver.carry_out_all(forwarder.end_all(self._driver.now_ms()))
         for server in servers:
             server.should_exit = True
         await asyncio.wait(
-            tasks, timeout=max(0.1, CLOSE_PART * stop_s - (self._loop.time() - began_s))
+            tasks, timeout=max(0.1, CONNECTION_CLOSE_SHARE * stop_s - (self._loop.time() - began_s))
         )
 
-    async def _watch_settings(self) -> None:
-        """Take over a settings file that changes without a signal."""
+    async def _poll_settings(self) -> None:
+        """Reload the settings file when it changes without a signal."""
         while True:
-            await asyncio.sleep(SETTINGS_CHECK_S)
+            await asyncio.sleep(SETTINGS_CHECK_INTERVAL_S)
             self._reload()
 
     def _reload(self) -> None:
@@ -250,14 +254,14 @@
         if text == self._settings_text:
             return
         is_first, self._settings_text = not self._settings_text, text
-        found = load_platform_settings(self._path)
-        if isinstance(found, str):
-            logger.warning("settings_refused", extra={"fields": {"detail": found}})
+        settings = load_platform_settings(self._path)
+        if isinstance(settings, str):
+            logger.warning("settings_refused", extra={"fields": {"detail": settings}})
             return
-        if is_first and found == self._settings:
+        if is_first and settings == self._settings:
             return
-        self._settings = found
-        self._driver.forwarder.apply_settings(found.to_forwarding())
+        self._settings = settings
+        self._driver.forwarder.apply_settings(settings.to_forwarding())
         logger.info("settings_reloaded")
 
     def _carry_out(self, action: ForwardingAction) -> None:
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_main.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_main.py
@@ -1,8 +1,8 @@
 """Run one instance on the users' platform: ``python -m geraniumlead_server.platform_main``.
 
-The callers' socket is opened before the rest of the program is loaded. After a loss of power
-all instances start at once, and loading takes half a second: callers that come meanwhile wait
-in the socket's queue and are served, where a closed port would turn them away.
+The callers' socket is opened before the rest of the program is loaded. After a power failure
+all instances start at once, and loading takes half a second. Callers that connect meanwhile wait
+in the socket's backlog and are served, whereas a closed port would reject them.
 """
 
 import argparse
@@ -17,8 +17,8 @@
 
 EXIT_BAD_SETTINGS = 2
 
-MOST_UNACCEPTED = 512
-"""Connections that wait for the program; some hundred callers come in a second."""
+MAX_UNACCEPTED_CONNECTIONS = 512
+"""Connections that wait while the program loads; some hundred callers connect each second."""
 
 
 def build_parser() -> argparse.ArgumentParser:
@@ -30,7 +30,7 @@
 
 
 def load_platform_settings(path: Path) -> PlatformSettings | str:
-    """Return the settings in a file, or what is wrong with it."""
+    """Return the settings in a file, or a message that says what is wrong with it."""
     try:
         return PlatformSettings.from_json(path.read_bytes())
     except OSError as error:
@@ -45,7 +45,7 @@
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind((host, int(port)))
-    listener.listen(MOST_UNACCEPTED)
+    listener.listen(MAX_UNACCEPTED_CONNECTIONS)
     listener.setblocking(False)
     return listener
 
@@ -60,8 +60,9 @@
     if arguments.check:
         return 0
     listener = open_callers_socket(settings.listen.callers)
-    # What loading creates stays for good. Looking through it for cycles again and again takes
-    # a twentieth of the start, and later holds up the loop; the daemon turns it on again.
+    # Objects created by imports live as long as the process. Scanning them for cycles takes a
+    # twentieth of the start, and later blocks the event loop; the daemon freezes them and
+    # enables the collector again.
     gc.disable()
 
     import asyncio
--- a/packages/geraniumlead-server/src/geraniumlead_server/store_follower.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/store_follower.py
@@ -1,4 +1,4 @@
-"""Keep the view of the platform's store fresh: one full read, then what changed since."""
+"""Follow the platform's store: one full read, then watch calls for what has changed since."""
 
 import asyncio
 import logging
@@ -18,41 +18,41 @@
     StoreClient,
     StoreError,
 )
-from geraniumlead_server.store_duty import StoreDuty
+from geraniumlead_server.store_callbacks import StoreCallbacks
 
-LEAST_WAIT_S = 0.001
-"""A shorter wait may end at the time at which it began, for ever where time is virtual."""
+MIN_WAIT_S = 0.001
+"""A shorter wait may end at the time at which it began: an endless loop in virtual time."""
 
-FIRST_READ_PAUSE_S = 0.5
-"""Longest pause between tries before the first reading: until then callers are refused, and
-after an outage that ends while all instances start, each tenth of a second counts."""
+MAX_FIRST_READ_PAUSE_S = 0.5
+"""Longest pause between retries before the first successful read: until then callers are refused,
+and when an outage ends while all instances start, each tenth of a second counts."""
 
-RETURN_PAUSE_S = 0.2
-"""Pause between calls while the store has just come back and a service has no upstream: callers
-are refused until what had lapsed is there again."""
+MAX_RECOVERY_PAUSE_S = 0.2
+"""Longest pause between calls while the store has just come back and a service has no upstream:
+callers are refused until the entries that had expired are there again."""
 
 logger = logging.getLogger("geraniumlead")
 
 
 class StoreFollower:
-    """Report everything that stands in the store, and then every change.
+    """Reports the full state of the store, and then every change.
 
-    While nothing changes, a watch waits for long and is all that an instance asks. Hundreds of
-    upstreams that start together change their entries each second, so that a watch returns at
-    once and at the price of a call; a pause between watches gathers many changes into one: the
-    calls depend on the bounds only, not on how many upstreams there are.
+    While nothing changes, one long watch is the only call that an instance makes. Hundreds of
+    upstreams that start together change their entries each second, so that each watch returns
+    at once and costs a call. A pause between watches collects many changes into one call: the
+    number of calls depends on the bounds only, not on the number of upstreams.
 
-    Failure: the store turns this instance away for seconds, and starting upstreams fill its
-    history. Caught up a reply at a time with a pause after each, it followed old routes for
-    seconds more. A reply that was cut is followed at once, and after a long outage the state is
-    read in place of its history.
+    Failure: the store rejects this instance's calls for seconds, and starting upstreams fill its
+    history. With a pause after each reply, the instance catches up so slowly that it uses old
+    routes for seconds more. The next call therefore follows a truncated reply at once, and after
+    a long outage the state is read instead of its history.
 
-    Failure: the store turns an instance away that has just started, or has missed what its peers
-    told. It asks a peer for the state as soon as a call fails and its view is old, so that its
-    callers are served by what the others know.
+    Failure: the store rejects the calls of an instance that has just started, or that has missed
+    updates of its peers. The instance requests the state from a peer as soon as a call fails and
+    its view is old, so that its callers are served by what the peers know.
 
-    Who does not watch hears from the watchers of its data centre what changed, and asks the
-    store itself when they are silent, or tell of changes from after a gap.
+    An instance that is not a watcher receives the changes from the watchers of its data centre.
+    It calls the store itself when the watchers are silent, or when an update follows a gap.
     """
 
     def __init__(
@@ -61,39 +61,41 @@
         bound_ms: float,
         report: Callable[[PublishedUpdates | StoreLost], None],
         random: Random,
-        duty: StoreDuty | None = None,
+        callbacks: StoreCallbacks | None = None,
     ) -> None:
         self._client = client
         self._pace = ReadingPace.from_bound(bound_ms)
         self._report = report
         self._random = random
-        self._duty = duty or StoreDuty()
+        self._callbacks = callbacks or StoreCallbacks()
         self._as_of_s = float("-inf")
-        self._is_due = asyncio.Event()
+        self._call_due = asyncio.Event()
         self._loop = asyncio.get_running_loop()
         self._backoff = Backoff(random, self._pace.longest_retry_ms / 1000.0)
         self._revision: int | None = None
         self._contact = StoreContact()
-        self._is_history_short = False
+        self._is_history_gone = False
         self._has_more = False
         self._is_reading_state = False
-        self._is_told_of_outage = False
+        self._is_outage_reported = False
         self._is_changing = False
 
     async def run(self) -> None:
         """Follow the store until cancelled."""
         while True:
-            await asyncio.sleep(await self._ask())
-            await self._wait_until_due()
+            await asyncio.sleep(await self._call_store())
+            await self._wait_until_call_due()
 
-    def take_relayed(self, relayed: StoreNews, source: str, delay_ms: float = 0.0) -> None:
-        """Take over what another instance has read; it came so much later than usual.
+    def handle_relayed(self, relayed: StoreNews, source: str, delay_ms: float = 0.0) -> None:
+        """Apply what another instance has read from the store.
 
-        Failure: a message of the watcher is lost, or this instance begins with an older state.
-        What lies between is unknown then, so it counts as not heard.
+        ``delay_ms`` is how much longer than usual the message took.
 
-        Failure: the store turns this instance away, or has forgotten the history that it would
-        read. The last revision stays valid, so that what peers tell still fits to it.
+        Failure: a message of the watcher is lost, or this instance starts from an older state.
+        The changes in between are unknown then, so the message is not applied.
+
+        Failure: the store rejects this instance's calls, or has discarded the history that it
+        would read. The last revision stays valid, so that updates of peers still apply to it.
         """
         revision = self._revision
         if self._is_reading_state or (revision is not None and relayed.to_revision < revision):
@@ -101,40 +103,41 @@
         if revision is None and not relayed.is_state:
             return
         if not relayed.is_state and relayed.from_revision > revision:
-            self._is_told_of_outage = relayed.is_after_outage
-            self._is_due.set()
+            self._is_outage_reported = relayed.is_after_outage
+            self._call_due.set()
             return
-        news = self._client.read_relayed(relayed)
+        updates = self._client.read_relayed(relayed)
         age_ms = relayed.age_ms + delay_ms
         if relayed.is_cut:
-            # What was left out has to be read, so the view is no younger by this.
+            # The omitted items still have to be read, so this does not make the view younger.
             age_ms = self._view_age_ms()
-            self._is_due.set()
+            self._call_due.set()
         else:
             self._revision = relayed.to_revision
-            self._note_as_of(self._loop.time() - age_ms / 1000.0)
+            self._record_as_of(self._loop.time() - age_ms / 1000.0)
             self._contact.note_told()
         is_after_outage = relayed.is_after_outage
-        self._report(PublishedUpdates(news, relayed.is_state, is_after_outage, age_ms, source))
+        self._report(PublishedUpdates(updates, relayed.is_state, is_after_outage, age_ms, source))
 
-    def tell_state(self, beyond_revision: int | None) -> StoreNews | None:
-        """Return what one who asks does not know; None when this instance knows less.
+    def build_state_reply(self, beyond_revision: int | None) -> StoreNews | None:
+        """Return what a peer at a revision does not know; None when this instance knows less.
 
-        That is all that is known here, or the word that nothing has changed. A view that is too
-        old is not passed on: whoever asked would wait for its patience again.
+        The reply holds the whole state that is known here, or no items when nothing has changed.
+        None is also returned when this view is too old: the peer would take it as an update and
+        wait for its whole patience again.
         """
-        is_known = self._revision is not None and not self._is_reading_state
+        has_state = self._revision is not None and not self._is_reading_state
         age_ms = self._view_age_ms()
-        if not is_known or age_ms >= self._pace.patience_ms:
+        if not has_state or age_ms >= self._pace.patience_ms:
             return None
         if beyond_revision is not None and self._revision < beyond_revision:
             return None
         if beyond_revision == self._revision:
-            news = StoreNews(self._revision, self._revision)
+            updates = StoreNews(self._revision, self._revision)
         else:
-            news = self._client.tell_state(self._revision)
+            updates = self._client.export_state(self._revision)
         return replace(
-            news,
+            updates,
             is_after_outage=self._has_returned(),
             age_ms=age_ms,
             sent_ms=self._now_ms(),
@@ -143,81 +146,82 @@
     def _view_age_ms(self) -> float:
         return (self._loop.time() - self._as_of_s) * 1000.0
 
-    async def _wait_until_due(self) -> None:
-        """Wait while others of the data centre tell what they have read.
+    async def _wait_until_call_due(self) -> None:
+        """Wait while other instances of the data centre relay what they have read.
 
-        Failure: what they tell comes late, for they are slow, or were frozen after reading it.
-        The wait counts from when the store was asked and not from when it was heard, so a view
-        is never taken for newer than it is.
+        Failure: relayed updates arrive late, because their senders are slow, or were frozen after
+        the read. The wait counts from when the store was called and not from when the update
+        arrived, so a view is never taken for newer than it is.
 
-        The time is spread, so that one of those who hear nothing asks first; what it reads it
-        passes on, and the others need not ask. A watcher that the store turns away waits, too.
+        The wait has a random spread, so that one of the instances that receive no updates calls
+        the store first; it relays what it reads, and the others need no call. A watcher whose
+        calls the store rejects waits, too.
         """
         spread = 1.0 + PATIENCE_SPREAD * self._random.random()
         patience_s = self._pace.patience_ms / 1000.0 * spread
         while not self._has_more:
             left_s = self._as_of_s + patience_s - self._loop.time()
-            is_on_duty = self._duty.is_watcher() and not self._contact.has_failed
-            if is_on_duty or left_s < LEAST_WAIT_S:
+            is_watching = self._callbacks.is_watcher() and not self._contact.has_failed
+            if is_watching or left_s < MIN_WAIT_S:
                 return
             try:
-                await asyncio.wait_for(self._is_due.wait(), left_s)
+                await asyncio.wait_for(self._call_due.wait(), left_s)
             except TimeoutError:
                 continue
             return
 
-    async def _ask(self) -> float:
+    async def _call_store(self) -> float:
         """Make one call; return the pause until the next, in seconds."""
-        asked_s = self._loop.time()
-        self._is_due.clear()
-        self._contact.note_asking(asked_s * 1000.0)
+        call_started_s = self._loop.time()
+        self._call_due.clear()
+        self._contact.note_asking(call_started_s * 1000.0)
         is_snapshot = self._contact.needs_state
         self._has_more = False
         changes = None
         try:
             if is_snapshot:
-                news = await self._read_state()
+                updates = await self._read_state()
             else:
                 changes = await self._watch()
-                news, self._has_more = changes.news, changes.has_more
-                # Meanwhile a watcher may have told of later changes.
+                updates, self._has_more = changes.updates, changes.has_more
+                # Meanwhile a watcher may have relayed later changes.
                 self._revision = max(self._revision, changes.revision)
-                self._is_history_short = False
+                self._is_history_gone = False
                 self._is_changing = changes.waited_ms == 0.0
         except HistoryGoneError:
-            return self._note_history_gone()
+            return self._handle_history_gone()
         except StoreError as error:
-            return self._note_lost(error)
+            return self._handle_store_error(error)
         self._contact.note_answered(is_snapshot, self._now_ms())
-        if not self._is_history_short:
+        if not self._is_history_gone:
             self._backoff.reset()
-        as_of_s = self._as_of_answer_s(asked_s, changes)
-        self._note_as_of(as_of_s)
+        as_of_s = self._as_of_answer_s(call_started_s, changes)
+        self._record_as_of(as_of_s)
         age_ms = (self._loop.time() - as_of_s) * 1000.0
-        is_after_outage, self._is_told_of_outage = self._is_told_of_outage, False
-        self._report(PublishedUpdates(news, is_snapshot, is_after_outage, age_ms))
+        is_after_outage, self._is_outage_reported = self._is_outage_reported, False
+        self._report(PublishedUpdates(updates, is_snapshot, is_after_outage, age_ms))
         if changes is not None:
             self._relay(changes.relayed, age_ms)
         if self._has_more:
             return 0.0
-        return self._pause_after(self._loop.time() - asked_s)
+        return self._pause_after(self._loop.time() - call_started_s)
 
-    def _relay(self, news: StoreNews, age_ms: float) -> None:
+    def _relay(self, updates: StoreNews, age_ms: float) -> None:
         is_after_outage = self._has_returned()
-        self._duty.relay(
-            replace(news, is_after_outage=is_after_outage, age_ms=age_ms, sent_ms=self._now_ms())
+        self._callbacks.relay(
+            replace(updates, is_after_outage=is_after_outage, age_ms=age_ms, sent_ms=self._now_ms())
         )
 
-    def _as_of_answer_s(self, asked_s: float, changes: StoreChanges | None) -> float:
-        """Return a time at which the store was surely as it answered.
+    def _as_of_answer_s(self, call_started_s: float, changes: StoreChanges | None) -> float:
+        """Return a time at which the store is known to have been as it answered.
 
-        An answer with changes came at once or any time later, and may have lain unread. One
-        without came when the wait was over.
+        An answer with changes may have been sent at any time since the call, and have waited
+        unread. An answer without changes was sent when the wait of the watch was over.
         """
         waited_s = 0.0 if changes is None else changes.waited_ms / 1000.0
-        return min(self._loop.time(), asked_s + waited_s)
+        return min(self._loop.time(), call_started_s + waited_s)
 
-    def _note_as_of(self, as_of_s: float) -> None:
+    def _record_as_of(self, as_of_s: float) -> None:
         self._as_of_s = max(self._as_of_s, as_of_s)
 
     async def _watch(self) -> StoreChanges:
@@ -225,33 +229,36 @@
         return await self._client.watch(self._revision, wait_ms, self._pace.slack_ms)
 
     def _watch_wait_ms(self) -> float:
-        if self._contact.has_failed or not self._duty.is_watcher():
+        if self._contact.has_failed or not self._callbacks.is_watcher():
             return PROMPT_WATCH_MS
-        if self._duty.has_readers():
+        if self._callbacks.has_readers():
             return self._pace.telling_ms
         return self._pace.pause_ms if self._is_changing else self._pace.watch_ms
 
     async def _read_state(self) -> tuple[PublishedUpdate, ...]:
-        """Read everything anew; what peers tell meanwhile is read in the watch that follows."""
+        """Read the whole state.
+
+        Updates that peers relay meanwhile are ignored; the watch that follows returns them.
+        """
         self._is_reading_state = True
         try:
-            news, self._revision = await self._client.read_all(self._pace.read_ms)
+            updates, self._revision = await self._client.read_all(self._pace.read_ms)
         finally:
             self._is_reading_state = False
-        return news
+        return updates
 
     def _pause_after(self, waited_s: float) -> float:
         pace = self._pace
-        pause_s = (pace.telling_ms if self._duty.has_readers() else pace.pause_ms) / 1000.0
-        if self._is_returning():
-            return min(pause_s, RETURN_PAUSE_S)
-        # A watch that waited in vain has gathered already.
+        pause_s = (pace.telling_ms if self._callbacks.has_readers() else pace.pause_ms) / 1000.0
+        if self._is_recovering():
+            return min(pause_s, MAX_RECOVERY_PAUSE_S)
+        # A watch that waited this long has collected changes already.
         has_waited = waited_s >= pace.pause_ms / 1000.0
         return 0.0 if has_waited else pause_s * (0.9 + 0.2 * self._random.random())
 
-    def _is_returning(self) -> bool:
-        """Return whether the store has just come back, and entries are still missing."""
-        return self._has_returned() and self._duty.lacks_upstreams()
+    def _is_recovering(self) -> bool:
+        """Return whether the store has just come back and a service still has no upstream."""
+        return self._has_returned() and self._callbacks.lacks_upstreams()
 
     def _has_returned(self) -> bool:
         return self._contact.has_returned(self._now_ms())
@@ -259,17 +266,17 @@
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
 
-    def _note_history_gone(self) -> float:
+    def _handle_history_gone(self) -> float:
         logger.info("history_gone", extra={"fields": {"revision": self._revision}})
         self._contact.needs_state = True
-        is_second = self._is_history_short
-        self._is_history_short = True
-        return self._backoff.next_pause_s() if is_second else 0.0
+        is_repeated = self._is_history_gone
+        self._is_history_gone = True
+        return self._backoff.next_pause_s() if is_repeated else 0.0
 
-    def _note_lost(self, error: StoreError) -> float:
+    def _handle_store_error(self, error: StoreError) -> float:
         self._report(StoreLost(str(error)))
         self._contact.note_failed(self._now_ms())
         if self._view_age_ms() >= self._pace.patience_ms:
-            self._duty.ask_state(self._revision)
+            self._callbacks.request_state(self._revision)
         pause_s = self._backoff.next_pause_s()
-        return pause_s if self._contact.has_answered else min(FIRST_READ_PAUSE_S, pause_s)
+        return pause_s if self._contact.has_answered else min(MAX_FIRST_READ_PAUSE_S, pause_s)
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/platform_process.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/platform_process.py
@@ -1,4 +1,4 @@
-"""Run the daemon on a platform of stand-ins, as a process of its own."""
+"""Run the daemon as a separate process on a platform of stand-ins."""
 
 import asyncio
 import signal
@@ -13,11 +13,11 @@
 from server_tests.ports import find_free_port
 
 HOST = "search.example"
-LONGEST_WAIT_S = 20.0
+MAX_WAIT_S = 20.0
 
 
 class PlatformProcess:
-    """Hold a store, three upstreams of one service and two shards, and one daemon."""
+    """A store, two upstreams of one service, two shards, and one daemon."""
 
     def __init__(self, **settings) -> None:
         self._own_settings = settings
@@ -58,7 +58,7 @@
                 str(self.settings_path),
                 stdout=log,
             )
-        async with asyncio.timeout(LONGEST_WAIT_S):
+        async with asyncio.timeout(MAX_WAIT_S):
             while await self.ready_status() != 200:
                 await asyncio.sleep(0.05)
 
@@ -69,11 +69,11 @@
 
     @property
     def log_path(self) -> Path:
-        """Return the file that takes the daemon's log."""
+        """Return the file to which the daemon logs."""
         return Path(self._folder.name) / "log"
 
     def write_settings(self, **changes) -> None:
-        """Write the settings file; ``changes`` are of the bounds."""
+        """Write the settings file; ``changes`` override its bounds."""
         settings = self.build_settings()
         settings["bounds"] |= changes
         self.settings_path.write_bytes(encode(settings))
@@ -134,29 +134,29 @@
         self.store.put("op/config", body | changes)
 
     async def ready_status(self) -> int:
-        """Return the answer to the balancer's question; 0 when there is none."""
+        """Return the status of a readiness check; 0 when there is no answer."""
         try:
             async with self.session.get(f"http://{self.listen['ready']}/-/readyz") as response:
                 return response.status
         except ClientError:
             return 0
 
-    async def ask(self, path: str, method: str = "GET", **options):
-        """Return status, headers and body of a caller's request."""
+    async def send_request(self, path: str, method: str = "GET", **options):
+        """Send a caller's request; return status, headers and body of the reply."""
         headers = {"Host": HOST, "Request-Id": "r-1", "Deadline-Ms": "2000"}
         headers |= options.pop("headers", {})
         url = f"http://{self.listen['callers']}{path}"
         async with self.session.request(method, url, headers=headers, **options) as response:
             return response.status, response.headers, await response.read()
 
-    async def end_daemon(self, number: signal.Signals = signal.SIGTERM) -> int:
-        """Signal the daemon; return its exit code."""
+    async def stop_daemon(self, number: signal.Signals = signal.SIGTERM) -> int:
+        """Send a signal to the daemon; return its exit code."""
         self.process.send_signal(number)
-        async with asyncio.timeout(LONGEST_WAIT_S):
+        async with asyncio.timeout(MAX_WAIT_S):
             return await self.process.wait()
 
     async def stop(self) -> None:
-        """End everything that was started here."""
+        """Stop all processes and stand-ins that were started here."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/test_attempt_client.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/test_attempt_client.py
@@ -1,4 +1,4 @@
-"""Test attempts over loopback connections, sound and faulty."""
+"""Tests of attempts over loopback connections, with and without faults."""
 
 import asyncio
 from unittest import IsolatedAsyncioTestCase
@@ -17,21 +17,21 @@
 from geraniumlead_standins.forwarding import StubUpstream, UpstreamFault
 from server_tests.ports import find_free_port
 
-LONGEST_WAIT_S = 5.0
+MAX_WAIT_S = 5.0
 
 
 class AttemptClientTests(IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.upstream = await StubUpstream("i-1").start()
         self.results: dict[int, object] = {}
-        self.client = AttemptClient(self._take)
+        self.client = AttemptClient(self._record_result)
         self.number = 0
 
     async def asyncTearDown(self):
         await self.client.close()
         await self.upstream.stop()
 
-    def _take(self, event: AttemptEnded) -> None:
+    def _record_result(self, event: AttemptEnded) -> None:
         self.results[event.attempt_id] = event.result
 
     def start(self, method: str = "GET", upstream_id: str = "i-1", address: str = "") -> int:
@@ -53,15 +53,15 @@
         self.client.start(StartAttempt(self.number, record, request, 900.0))
         return self.number
 
-    async def run_one(self, **options):
+    async def run_attempt(self, **options):
         number = self.start(**options)
-        async with asyncio.timeout(LONGEST_WAIT_S):
+        async with asyncio.timeout(MAX_WAIT_S):
             while number not in self.results:
                 await asyncio.sleep(0.005)
         return self.results[number]
 
     async def test_a_request_arrives_unchanged(self):
-        result = await self.run_one(method="POST")
+        result = await self.run_attempt(method="POST")
         self.assertTrue(result.is_success)
         self.assertEqual(b"answer", result.body)
         (seen,) = self.upstream.ran
@@ -70,58 +70,58 @@
         self.assertEqual("900", seen.headers["Deadline-Ms"])
         self.assertEqual([b"body"], self.upstream.bodies)
 
-    async def test_a_late_second_answer_never_reaches_the_next_request(self):
+    async def test_late_duplicate_answer_does_not_reach_the_next_request(self):
         """An upstream answers a request twice, the second time on the idle connection.
 
-        Taken for the answer to the next request on that connection, one caller would get
-        what was meant for another.
+        If that were taken for the answer to the next request on the connection, one caller would
+        receive the answer of another.
         """
         self.upstream.fault = UpstreamFault.EXTRA_LATE
-        await self.run_one()
+        await self.run_attempt()
         await asyncio.sleep(0.15)
         self.upstream.fault = UpstreamFault.NONE
-        result = await self.run_one()
+        result = await self.run_attempt()
         self.assertEqual(b"answer", result.body)
         self.assertIn(("Request-Id", "r2"), result.headers)
 
-    async def test_a_second_answer_under_way_is_told_apart_by_its_id(self):
+    async def test_duplicate_answer_during_the_next_request_is_dropped_by_its_id(self):
         self.upstream.fault = UpstreamFault.EXTRA_LATE
-        await self.run_one()
+        await self.run_attempt()
         self.upstream.delay_s = 0.2
-        result = await self.run_one()
+        result = await self.run_attempt()
         self.assertEqual(b"answer", result.body)
         self.assertIn(("Request-Id", "r2"), result.headers)
 
-    async def test_a_broken_connection_does_not_repeat_a_get(self):
-        """A kept connection is reset while a GET that must not be repeated is on it.
+    async def test_get_is_not_retried_after_a_connection_reset(self):
+        """A kept-alive connection is reset during a GET that must not be repeated.
 
-        The library would send a GET again by itself, and the request would run twice.
+        By default aiohttp retries a GET, and the request would run twice.
         """
-        await self.run_one()
+        await self.run_attempt()
         self.upstream.fault = UpstreamFault.RESET
-        self.assertIsInstance(await self.run_one(), PossiblyExecuted)
+        self.assertIsInstance(await self.run_attempt(), PossiblyExecuted)
         self.assertEqual(2, len(self.upstream.ran))
 
-    async def test_half_an_answer_is_none(self):
+    async def test_incomplete_answers_are_not_accepted(self):
         for fault in (UpstreamFault.CUT, UpstreamFault.UNFRAMED_RESET, UpstreamFault.ENCODED):
             self.upstream.fault = fault
-            self.assertIsInstance(await self.run_one(), PossiblyExecuted, fault)
+            self.assertIsInstance(await self.run_attempt(), PossiblyExecuted, fault)
 
-    async def test_rejections_are_told_from_failures(self):
+    async def test_rejections_are_distinguished_from_failures(self):
         self.upstream.fault = UpstreamFault.SHED
-        self.assertEqual(NotExecuted(503), await self.run_one())
+        self.assertEqual(NotExecuted(503), await self.run_attempt())
         self.upstream.fault = UpstreamFault.FAIL
-        result = await self.run_one()
+        result = await self.run_attempt()
         self.assertIsInstance(result, Completed)
         self.assertEqual(500, result.status)
 
-    async def test_another_upstream_at_the_address_runs_nothing(self):
-        result = await self.run_one(upstream_id="i-gone")
+    async def test_other_upstream_at_the_address_does_not_run_the_request(self):
+        result = await self.run_attempt(upstream_id="i-gone")
         self.assertEqual(NotExecuted(421, is_other_upstream=True), result)
         self.assertEqual([], self.upstream.ran)
 
-    async def test_nothing_was_sent_where_nobody_listens(self):
-        result = await self.run_one(address=f"127.0.0.1:{find_free_port()}")
+    async def test_refused_connection_means_not_reached(self):
+        result = await self.run_attempt(address=f"127.0.0.1:{find_free_port()}")
         self.assertIsInstance(result, NotReached)
 
     async def test_a_cancelled_attempt_closes_its_connection(self):
@@ -130,7 +130,7 @@
         while not self.upstream.ran:
             await asyncio.sleep(0.005)
         self.client.cancel(number)
-        async with asyncio.timeout(LONGEST_WAIT_S):
+        async with asyncio.timeout(MAX_WAIT_S):
             while not self.upstream.cancelled:
                 await asyncio.sleep(0.005)
         self.assertNotIn(number, self.results)
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/test_store_follower.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/test_store_follower.py
@@ -1,4 +1,4 @@
-"""Test how the store is followed, through its outages."""
+"""Tests of the store follower, including outages of the store."""
 
 import asyncio
 from random import Random
@@ -12,11 +12,11 @@
 )
 from geraniumlead.peering.store_contact import FAR_BEHIND_MS
 from geraniumlead_server.platform import StoreClient
-from geraniumlead_server.store_duty import StoreDuty
+from geraniumlead_server.store_callbacks import StoreCallbacks
 from geraniumlead_server.store_follower import StoreFollower
 from geraniumlead_standins.forwarding import StubStore, StubUpstream
 
-LONGEST_WAIT_S = 8.0
+MAX_WAIT_S = 8.0
 BOUND_MS = 160.0
 
 
@@ -26,7 +26,7 @@
         self.client = StoreClient(self.store.address)
         self.seen: list = []
         self.seen_s: list[float] = []
-        follower = StoreFollower(self.client, BOUND_MS, self.take, Random(1))
+        follower = StoreFollower(self.client, BOUND_MS, self.record_event, Random(1))
         self.entry = StubUpstream("x").entry("reader") | {"addr": "10.0.0.1:80"}
         self.task = asyncio.create_task(follower.run())
 
@@ -38,11 +38,11 @@
     async def replace_follower(self, bound_ms: float) -> None:
         self.task.cancel()
         self.seen.clear()
-        duty = StoreDuty(lacks_upstreams=lambda: not self.news(UpstreamSeen))
-        follower = StoreFollower(self.client, bound_ms, self.take, Random(1), duty)
+        callbacks = StoreCallbacks(lacks_upstreams=lambda: not self.updates_of(UpstreamSeen))
+        follower = StoreFollower(self.client, bound_ms, self.record_event, Random(1), callbacks)
         self.task = asyncio.create_task(follower.run())
 
-    def take(self, event) -> None:
+    def record_event(self, event) -> None:
         self.seen.append(event)
         self.seen_s.append(asyncio.get_running_loop().time())
 
@@ -51,27 +51,29 @@
         return lost + 1
 
     async def wait_for(self, condition) -> None:
-        async with asyncio.timeout(LONGEST_WAIT_S):
+        async with asyncio.timeout(MAX_WAIT_S):
             while not condition():
                 await asyncio.sleep(0.01)
 
     def snapshots(self) -> list[PublishedUpdates]:
         return [e for e in self.seen if isinstance(e, PublishedUpdates) and e.is_snapshot]
 
-    def news(self, kind: type) -> list:
+    def updates_of(self, kind: type) -> list:
         published = [event for event in self.seen if isinstance(event, PublishedUpdates)]
         return [item for event in published for item in event.updates if isinstance(item, kind)]
 
-    async def test_all_pages_are_read_and_then_every_change(self):
+    async def test_all_pages_and_every_later_change_are_read(self):
         for number in range(120):
             self.store.put(f"servers/i-{number:03}", self.entry)
         await self.wait_for(self.snapshots)
-        self.assertEqual(120, len({item.record.upstream_id for item in self.news(UpstreamSeen)}))
+        self.assertEqual(
+            120, len({item.record.upstream_id for item in self.updates_of(UpstreamSeen)})
+        )
         self.store.delete("servers/i-007")
-        await self.wait_for(lambda: self.news(UpstreamWithdrawn))
-        self.assertEqual([UpstreamWithdrawn("i-007")], self.news(UpstreamWithdrawn))
+        await self.wait_for(lambda: self.updates_of(UpstreamWithdrawn))
+        self.assertEqual([UpstreamWithdrawn("i-007")], self.updates_of(UpstreamWithdrawn))
 
-    async def test_a_forgotten_history_is_read_anew(self):
+    async def test_state_is_read_again_when_the_history_is_gone(self):
         await self.wait_for(self.snapshots)
         self.store.status = 503
         await self.wait_for(lambda: any(isinstance(event, StoreLost) for event in self.seen))
@@ -79,13 +81,13 @@
         self.store.forget_history()
         self.store.status = None
         await self.wait_for(lambda: len(self.snapshots()) == 2)
-        self.assertEqual(1, len(self.news(UpstreamSeen)))
+        self.assertEqual(1, len(self.updates_of(UpstreamSeen)))
 
-    async def test_a_store_without_any_history_is_not_asked_in_a_loop(self):
-        """The store forgets everything at once, again and again.
+    async def test_store_without_history_is_not_called_in_a_loop(self):
+        """The store discards its history at once, again and again.
 
-        Each watch is refused and everything read anew; without a pause one instance alone
-        would ask hundreds of times a second, and all pay for it and slow the store down.
+        Each watch is refused and the whole state read again; without a pause one instance alone
+        would make hundreds of calls a second, which cost all instances and slow the store down.
         """
         await self.wait_for(self.snapshots)
         self.store.contents.oldest = 10**9
@@ -94,10 +96,10 @@
         await asyncio.sleep(2.0)
         self.assertLessEqual(self.store.calls - before, 12)
 
-    async def test_a_store_that_refuses_is_asked_ever_less(self):
-        """The store turns this instance away for seconds.
+    async def test_calls_to_a_rejecting_store_back_off(self):
+        """The store rejects this instance's calls for seconds.
 
-        Asked again at once, all instances together would keep it from coming back.
+        Immediate retries of all instances together would keep the store from recovering.
         """
         self.store.status = 429
         await asyncio.sleep(0.2)
@@ -105,12 +107,12 @@
         await asyncio.sleep(2.0)
         self.assertLessEqual(self.store.calls - before, 6)
 
-    async def test_one_that_is_far_behind_catches_up_at_once(self):
-        """The store turns this instance away for seconds, and changes fill its history.
+    async def test_follower_far_behind_catches_up_without_pauses(self):
+        """The store rejects this instance's calls for seconds, and changes fill its history.
 
         The newest configuration is the last of 2,500 changes, of which a reply holds 500. With
-        a pause after each reply it was in force after five pauses, past its bound, and callers
-        were sent by old routes to upstreams that were leaving.
+        a pause after each reply it takes effect after five pauses, later than its bound allows,
+        and callers are sent by old routes to upstreams that are leaving.
         """
         await self.replace_follower(bound_ms=4_000.0)
         await self.wait_for(self.snapshots)
@@ -122,7 +124,7 @@
         before = self.store.calls
         self.store.status = None
         await self.wait_for(
-            lambda: "last" in {r.record.upstream_id for r in self.news(UpstreamSeen)}
+            lambda: "last" in {r.record.upstream_id for r in self.updates_of(UpstreamSeen)}
         )
         self.assertLessEqual(self.store.calls - before, 8)
         first = self.regained_index()
@@ -137,10 +139,10 @@
         )
         self.assertLess(self.seen_s[last] - self.seen_s[first], 1.0)
 
-    async def test_who_was_away_for_long_reads_the_state_and_not_its_history(self):
-        """The store is away for seconds, in which starting upstreams changed several times.
+    async def test_state_is_read_after_a_long_outage(self):
+        """The store is unavailable for seconds while starting upstreams change several times.
 
-        Their history takes a reply for each 500 changes; the state is read in far fewer.
+        Their history takes one reply for each 500 changes; the state takes far fewer.
         """
         await self.wait_for(self.snapshots)
         self.store.status = 503
@@ -148,19 +150,19 @@
         self.store.status = None
         await self.wait_for(lambda: len(self.snapshots()) == 2)
 
-    async def test_entries_that_come_back_after_an_outage_are_known_at_once(self):
-        """The store comes back without entries, and upstreams publish themselves again.
+    async def test_entries_that_return_after_an_outage_are_read_soon(self):
+        """The store recovers without entries, and upstreams publish themselves again.
 
-        Known only a long pause later, requests to their services were refused meanwhile.
+        If they were read only after a long pause, requests to their services would be refused.
         """
         await self.replace_follower(bound_ms=20_000.0)
         await self.wait_for(self.snapshots)
         self.store.put("servers/back", self.entry)
         async with asyncio.timeout(1.5):
-            await self.wait_for(lambda: self.news(UpstreamSeen))
+            await self.wait_for(lambda: self.updates_of(UpstreamSeen))
 
-    async def test_an_unreadable_entry_names_no_upstream(self):
+    async def test_unreadable_entry_withdraws_its_upstream(self):
         self.store.put("servers/i-1", self.entry)
-        await self.wait_for(lambda: self.news(UpstreamSeen))
+        await self.wait_for(lambda: self.updates_of(UpstreamSeen))
         self.store.put("servers/i-1", b"\xff")
-        await self.wait_for(lambda: self.news(UpstreamWithdrawn))
+        await self.wait_for(lambda: self.updates_of(UpstreamWithdrawn))
--- a/packages/geraniumlead-server/tests/server_tests/forwarding_front/test_forwarding_app.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding_front/test_forwarding_app.py
@@ -1,4 +1,4 @@
-"""Test what callers get over ASGI, without a socket."""
+"""Tests of the replies to callers over ASGI, without a socket."""
 
 import asyncio
 from unittest import IsolatedAsyncioTestCase
@@ -9,43 +9,43 @@
 
 
 class FakeDriver:
-    """Answer every request with one reply, or never."""
+    """A driver that answers every request with the same reply, or never."""
 
     def __init__(self, reply: RelayedReply | None) -> None:
         self.limits = RequestLimits(body_bytes=10)
         self.forwarder = type("Stopping", (), {"is_stopping": False})()
-        self.asked: list[ForwardedRequest] = []
-        self.dropped: list[int] = []
+        self.submitted: list[ForwardedRequest] = []
+        self.disconnected: list[int] = []
         self.written: list[int] = []
         self._reply = reply
 
     def next_key(self) -> int:
-        return len(self.asked) + 1
+        return len(self.submitted) + 1
 
     def now_ms(self) -> float:
         return 0.0
 
-    def ask(self, request: ForwardedRequest) -> asyncio.Future:
-        self.asked.append(request)
+    def submit(self, request: ForwardedRequest) -> asyncio.Future:
+        self.submitted.append(request)
         future = asyncio.get_running_loop().create_future()
         if self._reply is not None:
             future.set_result(self._reply)
         return future
 
-    def note_written(self, key: int) -> None:
+    def record_written(self, key: int) -> None:
         self.written.append(key)
 
-    def drop(self, key: int) -> None:
-        self.dropped.append(key)
+    def handle_disconnect(self, key: int) -> None:
+        self.disconnected.append(key)
 
 
 class ForwardingAppTests(IsolatedAsyncioTestCase):
     async def call(self, driver: FakeDriver, *messages: dict, **changes) -> list[dict]:
-        left = list(messages)
+        pending = list(messages)
         sent: list[dict] = []
 
         async def receive() -> dict:
-            return left.pop(0) if left else {"type": "http.disconnect"}
+            return pending.pop(0) if pending else {"type": "http.disconnect"}
 
         async def send(message: dict) -> None:
             sent.append(message)
@@ -59,11 +59,11 @@
         await ForwardingApp(driver)(scope | changes, receive, send)
         return sent
 
-    async def test_an_answer_is_passed_on_as_it_came(self):
+    async def test_answer_is_relayed_unchanged(self):
         headers = (("X-Own", "1"), ("X-Own", "2"), ("X-Name", "Jos\u00e9 \u4e2d"))
         driver = FakeDriver(RelayedReply(Completed(207, headers, b"body", "s")))
         start, end = await self.call(driver, {"type": "http.request"}, method="PURGE")
-        self.assertEqual("PURGE", driver.asked[0].method)
+        self.assertEqual("PURGE", driver.submitted[0].method)
         self.assertEqual((207, b"body"), (start["status"], end["body"]))
         expected = [
             (b"X-Own", b"1"),
@@ -78,23 +78,23 @@
         start, _ = await self.call(driver, {"type": "http.request"})
         self.assertEqual([], start["headers"])
 
-    async def test_a_body_over_the_limit_is_refused_announced_or_not(self):
+    async def test_body_over_the_limit_is_refused_with_and_without_content_length(self):
         announced = [(b"content-length", b"11")]
         pieces = [{"type": "http.request", "body": b"x" * 6, "more_body": True}] * 2
         for headers, messages in ((announced, []), ([], pieces)):
             driver = FakeDriver(None)
             start, _ = await self.call(driver, *messages, headers=headers)
             self.assertEqual(413, start["status"])
-            self.assertEqual([], driver.asked)
+            self.assertEqual([], driver.submitted)
 
-    async def test_a_caller_that_leaves_gets_nothing(self):
-        """A caller closes its connection, before its body is whole or after.
+    async def test_caller_that_disconnects_gets_no_reply(self):
+        """A caller closes its connection, before its body is complete or after that.
 
-        Nobody would read the reply, and upstreams must not work for it.
+        The reply would not be read, and upstreams must not work for it.
         """
         driver = FakeDriver(None)
         piece = {"type": "http.request", "body": b"x", "more_body": True}
         self.assertEqual([], await self.call(driver, piece))
-        self.assertEqual([], driver.asked)
+        self.assertEqual([], driver.submitted)
         self.assertEqual([], await self.call(driver, {"type": "http.request"}))
-        self.assertEqual([1], driver.dropped)
+        self.assertEqual([1], driver.disconnected)
--- a/packages/geraniumlead-server/tests/server_tests/platform/test_store_records.py
+++ b/packages/geraniumlead-server/tests/server_tests/platform/test_store_records.py
@@ -1,4 +1,4 @@
-"""Test what is made of the values in the store."""
+"""Tests of the decoding of values in the store."""
 
 from unittest import TestCase
 
@@ -12,7 +12,7 @@
     UpstreamWithdrawn,
 )
 from geraniumlead.routes import FanOut, OneService, SplitServices
-from geraniumlead_server.platform.store_records import Unreadable, read_item
+from geraniumlead_server.platform.store_records import UnreadableValue, read_item
 
 ENTRY = {
     "service": "reader",
@@ -39,20 +39,20 @@
 
 
 class UpstreamEntryTests(TestCase):
-    def test_an_entry_names_an_upstream(self):
+    def test_entry_is_read_as_an_upstream(self):
         expected = UpstreamRecord(
             "i-1", "reader", "10.1.0.9:8080", "noord-a", 2, True, 1200.0, 1_700_000_000_000
         )
         self.assertEqual(UpstreamSeen(expected), read_item("servers/i-1", encode(ENTRY)))
 
-    def test_a_deleted_entry_names_none(self):
+    def test_deleted_entry_withdraws_the_upstream(self):
         self.assertEqual(UpstreamWithdrawn("i-1"), read_item("servers/i-1", None))
 
-    def test_entries_of_other_writers_are_not_half_used(self):
-        """Something else writes below the same prefix.
+    def test_invalid_entries_are_not_used_in_part(self):
+        """Another program writes below the same prefix.
 
-        Fields are missing, of other types, or unknown words; an upstream taken from half of
-        them would get requests at a wrong address.
+        Fields are missing, have other types or unknown values. An upstream that is read from a
+        part of them would get requests at a wrong address.
         """
         broken = [
             b"\xff\xfe",
@@ -68,7 +68,7 @@
             encode({name: ENTRY[name] for name in ENTRY if name != "zone"}),
         ]
         for value in broken:
-            self.assertIsInstance(read_item("servers/i-1", value), Unreadable, value)
+            self.assertIsInstance(read_item("servers/i-1", value), UnreadableValue, value)
 
     def test_fields_of_a_newer_platform_are_ignored(self):
         self.assertIsInstance(read_item("servers/i", encode(ENTRY | {"mood": 1})), UpstreamSeen)
@@ -84,36 +84,36 @@
         }
         return read_item("op/config", encode(body))
 
-    def route_of(self, **target):
+    def read_route(self, **target):
         found = self.read(**target)
         assert isinstance(found, ConfigurationSeen), found
         return found.configuration.routes.find("search.example", "/pages/1")
 
     def test_the_three_kinds_of_target(self):
-        self.assertEqual(OneService("reader"), self.route_of(service="reader").target)
+        self.assertEqual(OneService("reader"), self.read_route(service="reader").target)
         split = [{"service": "a", "weight": 70}, {"service": "b", "weight": 30}]
         expected = SplitServices((("a", 70.0), ("b", 30.0)))
-        self.assertEqual(expected, self.route_of(trafficSplit=split).target)
-        route = self.route_of(fanout=["a", "b"], topK=5, oldestVersion=0.75)
+        self.assertEqual(expected, self.read_route(trafficSplit=split).target)
+        route = self.read_route(fanout=["a", "b"], topK=5, oldestVersion=0.75)
         self.assertEqual(FanOut(("a", "b"), 5, 0.75), route.target)
 
-    def test_only_the_word_safe_allows_repeats(self):
-        self.assertTrue(self.route_of(service="reader").is_idempotent)
-        for word in ("unsafe", "keyed", ""):
-            self.assertFalse(self.route_of(service="reader", type=word).is_idempotent)
+    def test_only_the_type_safe_allows_repeats(self):
+        self.assertTrue(self.read_route(service="reader").is_idempotent)
+        for route_type in ("unsafe", "keyed", ""):
+            self.assertFalse(self.read_route(service="reader", type=route_type).is_idempotent)
 
-    def test_limits_and_services_are_taken_over(self):
+    def test_limits_and_services_are_read(self):
         configuration = self.read(service="reader").configuration
         self.assertEqual(4096, configuration.limits.header_bytes)
         self.assertEqual(9000.0, configuration.limits.idle_timeout_ms)
         self.assertEqual(26, configuration.services["reader"].most_connections)
 
-    def test_a_route_without_target_refuses_the_whole_version(self):
-        self.assertIsInstance(self.read(), Unreadable)
+    def test_route_without_target_invalidates_the_configuration(self):
+        self.assertIsInstance(self.read(), UnreadableValue)
 
-    def test_evacuations_come_and_go(self):
+    def test_evacuations_start_and_end(self):
         self.assertEqual(EvacuationSeen("zuid-a", True), read_item("op/evacuate/zuid-a", b"{}"))
         self.assertEqual(EvacuationSeen("zuid-a", False), read_item("op/evacuate/zuid-a", None))
 
-    def test_other_keys_are_of_no_interest(self):
+    def test_other_keys_are_ignored(self):
         self.assertIsNone(read_item("other/key", b"{}"))
