--- a/packages/geraniumlead-server/tests/server_tests/forwarding_telemetry/test_decision_log.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding_telemetry/test_decision_log.py
@@ -1,4 +1,4 @@
-"""Test which decisions are written when there are more than the budget allows."""
+"""Tests of which decisions are logged when there are more than the budget allows."""
 
 from unittest import TestCase
 from unittest.mock import patch
@@ -21,15 +21,15 @@
     def written(self) -> list[str]:
         return [call.args[1] for call in self.logger.log.call_args_list]
 
-    def test_a_configuration_is_told_beside_hundreds_of_upstreams(self):
-        """Guards against a log that cannot say which version an instance acted on."""
+    def test_configuration_is_logged_despite_hundreds_of_upstreams(self):
+        """Guards against a log that does not show which configuration version an instance used."""
         self.observe("upstream_left", count=300)
         self.observe("configuration")
         self.observe("published")
         self.assertEqual(["configuration", "published"], self.written()[-2:])
         self.assertLessEqual(self.written().count("upstream_left"), 100)
 
-    def test_what_was_left_out_is_counted_in_the_next_line(self):
+    def test_skipped_lines_are_counted_in_the_next_line(self):
         self.observe("upstream_left", count=300)
         self.observe("configuration")
         fields = self.logger.log.call_args.kwargs["extra"]["fields"]
--- a/packages/geraniumlead-server/tests/server_tests/platform/test_messages.py
+++ b/packages/geraniumlead-server/tests/server_tests/platform/test_messages.py
@@ -1,4 +1,4 @@
-"""Test how requests, attempts, answers and replies are read and written."""
+"""Tests of the formats of requests, attempts, answers and replies."""
 
 from unittest import TestCase
 
@@ -40,26 +40,26 @@
         self.assertIn(("x-own", "2"), found.headers)
         self.assertIn(("content-type", "text/x"), found.headers)
 
-    def test_headers_beyond_ascii_are_read_as_what_they_are_written_as(self):
+    def test_non_ascii_headers_are_decoded(self):
         found = self.read((b"x-name", "Jos\u00e9".encode()), (b"x-old", b"Jos\xe9"))
         self.assertIn(("x-name", "Jos\u00e9"), found.headers)
         self.assertIn(("x-old", "Jos\u00e9"), found.headers)
         self.assertIn(("request-id", "r1"), found.headers)
 
-    def test_headers_of_the_connection_end_here(self):
+    def test_hop_by_hop_headers_are_not_forwarded(self):
         found = self.read((b"connection", b"keep-alive, X-Hop"), (b"x-hop", b"1"))
         self.assertEqual({"host", "request-id"}, {name for name, _ in found.headers})
 
-    def test_the_callers_wait_is_read_and_its_other_words_are_not_passed_on(self):
+    def test_deadline_is_read_and_platform_headers_are_not_forwarded(self):
         found = self.read((b"deadline-ms", b"1200"), (b"expect-instance", b"i-evil"))
         self.assertEqual(1200.0, found.wait_ms)
         self.assertEqual({"host", "request-id"}, {name for name, _ in found.headers})
 
-    def test_a_wait_that_is_no_number_counts_as_none(self):
+    def test_invalid_deadline_is_ignored(self):
         for value in (b"soon", b"-5", b""):
             self.assertIsNone(self.read((b"deadline-ms", value)).wait_ms)
 
-    def test_a_request_without_id_cannot_be_taken(self):
+    def test_request_without_id_is_refused(self):
         found = self.read(headers=[(b"host", b"h")])
         self.assertIsInstance(found, BadRequest)
         self.assertEqual(400, found.status)
@@ -82,7 +82,7 @@
         kept = dict(found.headers)
         self.assertEqual({"Response-Stamp", "Request-Id", "X-Own"}, set(kept))
 
-    def test_an_answer_that_cannot_be_trusted_may_have_run(self):
+    def test_invalid_answer_counts_as_possibly_executed(self):
         cases = [
             {"Response_Stamp": "s", "Request_Id": "other"},
             {"Response_Stamp": "s", "Content_Encoding": "gzip"},
@@ -91,7 +91,7 @@
         for headers in cases:
             self.assertIsInstance(self.read(**headers), PossiblyExecuted, headers)
 
-    def test_only_the_word_of_the_upstream_says_that_nothing_ran(self):
+    def test_only_the_header_of_the_upstream_means_not_executed(self):
         self.assertEqual(NotExecuted(503), self.read(503, Not_Executed="1"))
         self.assertIsInstance(self.read(503), Completed)
         self.assertEqual(NotExecuted(421, True), self.read(421))
@@ -103,7 +103,7 @@
         self.assertEqual("a, b", headers["Part-Stamps"])
         self.assertEqual("1", headers["Missing-Parts"])
 
-    def test_a_refusal_says_when_to_come_back(self):
+    def test_refusal_has_a_retry_after_header(self):
         headers = dict(reply_headers(OwnReply(503, "full", 250.0), "r1"))
         self.assertEqual("0.250", headers["Retry-After"])
 
--- a/packages/geraniumlead-server/tests/server_tests/platform/test_names_stay_inside.py
+++ b/packages/geraniumlead-server/tests/server_tests/platform/test_names_stay_inside.py
@@ -1,4 +1,4 @@
-"""Test that the platform's own names are known in one folder only."""
+"""Test that names of the platform's formats are used in the folder ``platform`` only."""
 
 from pathlib import Path
 from re import compile as compile_pattern
@@ -13,7 +13,7 @@
 
 
 class PlatformNamesTests(TestCase):
-    def test_no_module_outside_the_folder_knows_them(self):
+    def test_no_other_module_uses_them(self):
         found = []
         for package in ("geraniumlead", "geraniumlead-server", "geraniumlead-client"):
             for path in (PACKAGES / package / "src").rglob("*.py"):
