--- a/packages/geraniumlead-server/src/geraniumlead_server/store_callbacks.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/store_callbacks.py
@@ -18,7 +18,7 @@
     """Drop the updates."""
 
 
-def _ask_nobody(beyond_revision: int | None) -> None:
+def _request_from_nobody(beyond_revision: int | None) -> None:
     """Send no request."""
 
 
@@ -35,5 +35,5 @@
     is_watcher: Callable[[], bool] = _always
     has_readers: Callable[[], bool] = _never
     relay: Callable[[StoreNews], None] = _relay_to_nobody
-    request_state: Callable[[int | None], None] = _ask_nobody
+    request_state: Callable[[int | None], None] = _request_from_nobody
     lacks_upstreams: Callable[[], bool] = _never
