--- a/packages/geraniumlead-server/src/geraniumlead_server/__init__.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/__init__.py
@@ -1,1 +1,1 @@
-"""Run the daemon geraniumleadd: turn network events into decisions and carry them out."""
+"""The daemon ``geraniumleadd``: passes network events to the core and executes its actions."""
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/__init__.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/__init__.py
@@ -1,4 +1,4 @@
-"""Serve callers over HTTP."""
+"""The HTTP interface for callers."""
 
 from geraniumlead_server.callers.app import build_callers_app
 
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/app.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/app.py
@@ -1,5 +1,3 @@
-"""Assemble the callers' HTTP interface."""
-
 import falcon.asgi
 
 from geraniumlead_server.callers.queries import QueriesResource
@@ -9,7 +7,7 @@
 
 
 def build_callers_app(driver: InstanceDriver) -> falcon.asgi.App:
-    """Return the ASGI application that callers and the balancer reach."""
+    """Return the ASGI application that serves callers and the load balancer."""
     app = falcon.asgi.App()
     app.add_route("/v1/queries", QueriesResource(driver))
     app.add_route("/v1/tickets", TicketsResource(driver))
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/credentials.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/credentials.py
@@ -1,4 +1,4 @@
-"""Tie a caller to its contract."""
+"""Authenticate callers by their bearer token."""
 
 from hashlib import sha256
 
@@ -6,15 +6,18 @@
 
 from geraniumlead_server.driver import InstanceDriver
 
-SCHEME = "Bearer "
+AUTH_SCHEME = "Bearer "
 
 
-def find_customer(driver: InstanceDriver, request: falcon.Request) -> str:
-    """Return the customer whose contract lists the bearer token's digest; raises 401."""
+def authenticate_customer(driver: InstanceDriver, request: falcon.Request) -> str:
+    """Return the customer whose contract lists the bearer token's digest.
+
+    Raise ``HTTPUnauthorized`` if there is none.
+    """
     header = request.get_header("Authorization") or ""
-    digest = sha256(header.removeprefix(SCHEME).encode()).hexdigest()
+    digest = sha256(header.removeprefix(AUTH_SCHEME).encode()).hexdigest()
     customer = driver.instance.parts.store.view.customer_of_credential.get(digest)
-    if customer is None or not header.startswith(SCHEME):
-        # One answer for every cause: it must not tell a guesser how close the guess was.
+    if customer is None or not header.startswith(AUTH_SCHEME):
+        # The response is the same for every cause, so that it does not help to guess tokens.
         raise falcon.HTTPUnauthorized(title="unauthorized", challenges=["Bearer"])
     return customer
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/openapi.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/openapi.py
@@ -1,11 +1,11 @@
-"""Describe the callers' interface: ``python -m geraniumlead_server.callers.openapi``."""
+"""Print the OpenAPI description: ``python -m geraniumlead_server.callers.openapi``."""
 
 from msgspec.json import encode, format, schema_components
 
 from geraniumlead.requests import MissingReason, RefusalReason
 from geraniumlead_server.callers.bodies import QueryBody, TicketBody
 
-_OUTCOME_OF_STATUS = {
+_RESPONSE_BY_STATUS = {
     "200": ("whole or partial answer", "Answer"),
     "400": ("malformed, or not run", "NotRun"),
     "401": ("no contract lists the credential", None),
@@ -55,7 +55,7 @@
         "requestBody": _json_content(body) | {"required": True},
         "responses": {
             status: {"description": text} | (_json_content(_ref(name)) if name else {})
-            for status, (text, name) in _OUTCOME_OF_STATUS.items()
+            for status, (text, name) in _RESPONSE_BY_STATUS.items()
         },
     }
 
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/ready.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/ready.py
@@ -1,4 +1,4 @@
-"""Tell the balancer whether to send requests here."""
+"""Serve GET /ready, the load balancer's readiness check."""
 
 import falcon
 
@@ -6,7 +6,7 @@
 
 
 class ReadyResource:
-    """Answer 200 while the instance wants requests, else 503."""
+    """Responds 200 while the instance accepts requests, else 503."""
 
     def __init__(self, driver: InstanceDriver) -> None:
         self._driver = driver
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/rendering.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/rendering.py
@@ -1,4 +1,4 @@
-"""Turn outcomes into HTTP answers."""
+"""Convert outcomes to HTTP responses."""
 
 from math import ceil
 
@@ -10,7 +10,7 @@
 
 MILLISECONDS_PER_SECOND = 1000.0
 
-_CLIENT_ERRORS = {
+_CLIENT_ERROR_STATUSES = {
     RefusalReason.CONTRACT_UNKNOWN: falcon.HTTP_403,
     RefusalReason.CONTRACT_EXPIRED: falcon.HTTP_403,
     RefusalReason.TICKET_NEEDED: falcon.HTTP_400,
@@ -25,14 +25,14 @@
 
 
 def render_outcome(response: falcon.Response, request_id: str, outcome: Outcome) -> None:
-    """Fill the response; every outcome has a JSON body with its name."""
+    """Fill in the response; the JSON body always has the name of the outcome."""
     response.set_header("X-Request-Id", request_id)
     response.content_type = falcon.MEDIA_JSON
     match outcome:
         case Answered():
             response.data = _render_answer(request_id, outcome)
         case NotRun(reason=reason, retry_after_ms=retry_after_ms):
-            response.status = _CLIENT_ERRORS.get(reason, falcon.HTTP_503)
+            response.status = _CLIENT_ERROR_STATUSES.get(reason, falcon.HTTP_503)
             body = {"outcome": "not_run", "request_id": request_id, "reason": reason.value}
             if retry_after_ms > 0:
                 seconds = ceil(retry_after_ms / MILLISECONDS_PER_SECOND)
@@ -58,7 +58,7 @@
         "index_version": outcome.index_version,
         "coverage": _render_coverage(outcome.coverage),
     }
-    # The upstreams' JSON is joined as text: decoding it would cost more than all the rest.
+    # The upstreams' JSON is joined as text: decoding it would cost more than everything else.
     inner = (text.strip()[1:-1].strip() for text in outcome.records)
     records = b",".join(text for text in inner if text)
     return encode(head)[:-1] + b',"records":[' + records + b"]}"
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/reading.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/request_body.py
@@ -1,17 +1,17 @@
-"""Read a caller's body within its bounds."""
+"""Read and decode a caller's request body within the limits."""
 
 import falcon
 from msgspec import DecodeError
 from msgspec.json import Decoder
 
-from geraniumlead_server.callers.json_depth import MOST_DEPTH, is_deeper_than
+from geraniumlead_server.callers.json_depth import MAX_DEPTH, is_deeper_than
 
-# What follows on such a connection would be the rest of the refused body.
-_CLOSE = {"Connection": "close"}
+# The rest of a refused body would be read as the next request on the connection.
+_CLOSE_HEADERS = {"Connection": "close"}
 
 
 async def read_body(request: falcon.Request, decoder: Decoder, limit_bytes: int):
-    """Return the decoded body; raises 413 for a long and 400 for a malformed one."""
+    """Return the decoded body; raise HTTP error 413 if it is too long, 400 if malformed."""
     length = request.content_length
     if length is not None and length > limit_bytes:
         raise _too_large(limit_bytes)
@@ -22,10 +22,10 @@
 
 
 def _decode(data: bytes, decoder: Decoder):
-    if is_deeper_than(data, MOST_DEPTH):
-        raise falcon.HTTPBadRequest(title=f"the body is nested deeper than {MOST_DEPTH}")
+    if is_deeper_than(data, MAX_DEPTH):
+        raise falcon.HTTPBadRequest(title=f"the body is nested deeper than {MAX_DEPTH}")
     try:
-        # The query's text is passed on as it is, so nobody else would find wrong UTF-8 in it.
+        # The query is forwarded undecoded, so invalid UTF-8 in it would not be found later.
         data.decode()
         return decoder.decode(data)
     except (DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -34,4 +34,4 @@
 
 def _too_large(limit_bytes: int) -> falcon.HTTPContentTooLarge:
     title = f"the body is longer than {limit_bytes} bytes"
-    return falcon.HTTPContentTooLarge(title=title, headers=_CLOSE)
+    return falcon.HTTPContentTooLarge(title=title, headers=_CLOSE_HEADERS)
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/tickets.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/tickets.py
@@ -7,29 +7,31 @@
 
 from geraniumlead.events import TicketAsked
 from geraniumlead_server.callers.bodies import TicketBody
-from geraniumlead_server.callers.credentials import find_customer
-from geraniumlead_server.callers.reading import read_body
+from geraniumlead_server.callers.credentials import authenticate_customer
 from geraniumlead_server.callers.rendering import render_outcome
+from geraniumlead_server.callers.request_body import read_body
 from geraniumlead_server.driver import InstanceDriver
 
 _DECODER = Decoder(TicketBody)
 
 
 class TicketsResource:
-    """Give out tickets for non-idempotent requests."""
+    """The resource that issues tickets for non-idempotent requests."""
 
     def __init__(self, driver: InstanceDriver) -> None:
         self._driver = driver
 
     async def on_post(self, request, response) -> None:
-        """Give one ticket."""
-        customer = find_customer(self._driver, request)
+        """Issue one ticket."""
+        customer = authenticate_customer(self._driver, request)
         limit_bytes = self._driver.instance.parts.settings.limits.body_bytes
         body = await read_body(request, _DECODER, limit_bytes)
         request_id = uuid4().hex
-        given = await self._driver.ask_ticket(TicketAsked(request_id, customer, body.class_name))
-        if given.refusal is not None:
-            render_outcome(response, request_id, given.refusal)
+        answer = await self._driver.request_ticket(
+            TicketAsked(request_id, customer, body.class_name)
+        )
+        if answer.refusal is not None:
+            render_outcome(response, request_id, answer.refusal)
             return
         response.status = falcon.HTTP_201
-        response.media = {"ticket": given.ticket, "valid_ms": given.valid_ms}
+        response.media = {"ticket": answer.ticket, "valid_ms": answer.valid_ms}
--- a/packages/geraniumlead-server/src/geraniumlead_server/daemon.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/daemon.py
@@ -1,4 +1,4 @@
-"""Assemble the parts of one entry instance and run them on one loop."""
+"""Assemble the parts of one entry instance and run them on one event loop."""
 
 import asyncio
 import logging
@@ -22,21 +22,21 @@
 from geraniumlead_server.upstream_client import UpstreamClient
 from geraniumlead_server.web_server import WebServer
 
-SPARE_CONNECTIONS = 2_000
-"""Idle connections of the balancer that are kept besides those with an open request."""
+MAX_IDLE_CONNECTIONS = 2_000
+"""Idle connections of the load balancer that are allowed besides those with open requests."""
 
-OPERATORS_CONNECTIONS = 200
+MAX_OPERATOR_CONNECTIONS = 200
 
 logger = logging.getLogger("geraniumlead")
 
 
-def draw_incarnation() -> str:
-    """Return a name for this life of the process, which no seed of the settings repeats."""
+def generate_incarnation() -> str:
+    """Return a random name for this run of the process, independent of the seed in the settings."""
     return f"{SystemRandom().getrandbits(INCARNATION_BITS):012x}"
 
 
 class Daemon:
-    """Run one instance until it was asked to stop and its work has ended."""
+    """Runs one instance until it is asked to stop and its work in progress has ended."""
 
     def __init__(self, settings: InstanceSettings, random: Random) -> None:
         self._settings = settings
@@ -44,14 +44,16 @@
 
     @classmethod
     def from_settings(cls, settings: InstanceSettings) -> "Daemon":
-        """Build a daemon; without a seed, the system's randomness is used."""
+        """Build a daemon whose random numbers are seeded by the settings, or else by the system."""
         seed = settings.seed if settings.seed is not None else SystemRandom().getrandbits(64)
         return cls(settings, Random(seed))
 
     async def run(self) -> None:
-        """Serve, and return after a graceful stop."""
+        """Serve requests, and return after a graceful stop."""
         loop = asyncio.get_running_loop()
-        instance = Instance(self._settings, self._random, loop.time() * 1000.0, draw_incarnation())
+        instance = Instance(
+            self._settings, self._random, loop.time() * 1000.0, generate_incarnation()
+        )
         driver = InstanceDriver(instance, self._carry_out)
         self._upstreams = UpstreamClient(driver.handle)
         self._platform = PlatformClient(
@@ -75,17 +77,17 @@
         logger.info("stopped")
 
     def _build_servers(self, driver: InstanceDriver) -> list[WebServer]:
-        self._recent = RecentRequests()
-        page = MetricsPage()
-        metrics = RequestMetrics(driver.instance, page.reader, driver.now_ms)
-        driver.arrival_observers.append(self._recent.open)
-        driver.observers += [metrics.observe, self._recent.observe, RequestLog().observe]
+        self._recent_requests = RecentRequests()
+        metrics_page = MetricsPage()
+        metrics = RequestMetrics(driver.instance, metrics_page.reader, driver.now_ms)
+        driver.arrival_observers.append(self._recent_requests.record_arrival)
+        driver.observers += [metrics.observe, self._recent_requests.observe, RequestLog().observe]
         listen = self._settings.listen
-        most = self._settings.limits.open_requests + SPARE_CONNECTIONS
-        operators_app = build_operators_app(driver, self._recent, page)
+        max_connections = self._settings.limits.open_requests + MAX_IDLE_CONNECTIONS
+        operators_app = build_operators_app(driver, self._recent_requests, metrics_page)
         return [
-            WebServer.from_address(build_callers_app(driver), listen.callers, most),
-            WebServer.from_address(operators_app, listen.operators, OPERATORS_CONNECTIONS),
+            WebServer.from_address(build_callers_app(driver), listen.callers, max_connections),
+            WebServer.from_address(operators_app, listen.operators, MAX_OPERATOR_CONNECTIONS),
         ]
 
     async def _close(self, servers: list[WebServer], tasks: list[asyncio.Task]) -> None:
@@ -99,13 +101,13 @@
     def _carry_out(self, action: Action) -> None:
         match action:
             case CallUpstream():
-                self._recent.note_subquery(action.subquery, self._settings.instance_id)
+                self._recent_requests.record_subquery(action.subquery, self._settings.instance_id)
                 self._upstreams.call(action)
             case CancelCall(call_id=call_id):
                 self._upstreams.cancel(call_id)
             case SendToPeer(message=SubqueryBatch(subqueries=subqueries)):
                 for subquery in subqueries:
-                    self._recent.note_subquery(subquery, action.instance_id)
+                    self._recent_requests.record_subquery(subquery, action.instance_id)
                 self._peers.send(action)
             case SendToPeer():
                 self._peers.send(action)
--- a/packages/geraniumlead-server/src/geraniumlead_server/driver.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/driver.py
@@ -1,4 +1,4 @@
-"""Drive the state machine: feed it events and carry out its actions."""
+"""Pass events to an instance's state machine and carry out its actions."""
 
 import asyncio
 import logging
@@ -24,10 +24,10 @@
 
 
 class InstanceDriver:
-    """Hold an instance, its timer, and the callers that wait for answers.
+    """Holds an instance, its timer, and the futures of the callers that wait for answers.
 
-    ``carry_out`` is called with each action that is meant for the network. Everything runs
-    on one loop, so ``handle`` is never entered twice at once.
+    ``carry_out`` is called with each action that needs the network. Everything runs on one
+    event loop, so ``handle`` never runs concurrently.
     """
 
     def __init__(self, instance: Instance, carry_out: Callable[[Action], None]) -> None:
@@ -37,37 +37,37 @@
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due_ms = float("inf")
-        self._waiting: dict[str, asyncio.Future] = {}
+        self._pending_futures: dict[str, asyncio.Future] = {}
         self.observers: list[Callable[[AnswerCaller, float], None]] = []
         self.arrival_observers: list[Callable[[CallerRequest], None]] = []
 
     def now_ms(self) -> float:
-        """Return the monotonic clock in milliseconds."""
+        """Return the time of the monotonic clock in milliseconds."""
         return self._loop.time() * 1000.0
 
     def start(self) -> None:
-        """Carry out the instance's first actions."""
+        """Start the instance, carry out its first actions and fire its timer once."""
         self._carry_out_all(self.instance.start(self.now_ms()))
         self.handle(TimerFired(time()))
 
     def handle(self, event: Event) -> None:
-        """Pass one event to the instance and carry out what follows."""
+        """Pass one event to the instance and carry out the resulting actions."""
         self._carry_out_all(self.instance.handle(event, self.now_ms()))
         self._arm_timer()
 
-    async def ask(self, event: QueryArrived) -> AnswerCaller:
-        """Wait for the outcome of a request; a cancelled wait tells that the caller is gone."""
+    async def run_query(self, event: QueryArrived) -> AnswerCaller:
+        """Return the outcome of a request; cancelling the wait reports a caller's disconnection."""
         for observe in self.arrival_observers:
             observe(event.request)
-        return await self._wait(event.request.request_id, event)
+        return await self._handle_and_wait(event.request.request_id, event)
 
-    async def ask_ticket(self, event: TicketAsked) -> GiveTicket:
-        """Wait for a ticket."""
-        return await self._wait(event.request_id, event)
+    async def request_ticket(self, event: TicketAsked) -> GiveTicket:
+        """Return a ticket, or the reason for its refusal."""
+        return await self._handle_and_wait(event.request_id, event)
 
-    async def _wait(self, request_id: str, event: Event):
+    async def _handle_and_wait(self, request_id: str, event: Event):
         future = self._loop.create_future()
-        self._waiting[request_id] = future
+        self._pending_futures[request_id] = future
         try:
             self.handle(event)
             return await future
@@ -75,7 +75,7 @@
             self.handle(CallerGone(request_id))
             raise
         finally:
-            self._waiting.pop(request_id, None)
+            self._pending_futures.pop(request_id, None)
 
     def _carry_out_all(self, actions: list[Action]) -> None:
         for action in actions:
@@ -94,7 +94,7 @@
                     self._carry_out(action)
 
     def _resolve(self, request_id: str, action: AnswerCaller | GiveTicket) -> None:
-        future = self._waiting.get(request_id)
+        future = self._pending_futures.get(request_id)
         if future is not None and not future.done():
             future.set_result(action)
 
@@ -105,8 +105,8 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_due_ms = due_ms
-        self._timer = self._loop.call_at(due_ms / 1000.0, self._fire)
+        self._timer = self._loop.call_at(due_ms / 1000.0, self._handle_timer)
 
-    def _fire(self) -> None:
+    def _handle_timer(self) -> None:
         self._timer, self._timer_due_ms = None, float("inf")
         self.handle(TimerFired(time()))
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_front/limited_protocol.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_front/limited_protocol.py
@@ -20,7 +20,7 @@
         _round_trip_ms: float | None = None
 
         @property
-        def most_header_bytes(self) -> int:
+        def max_header_bytes(self) -> int:
             return limits().header_bytes
 
         @property
--- a/packages/geraniumlead-server/src/geraniumlead_server/logs/__init__.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/logs/__init__.py
@@ -1,7 +1,7 @@
 """Write logs as JSON lines.
 
-The request log of the query interface is imported from its own module: with it come all
-decisions of that interface, which a daemon on the users' platform does not load.
+The request log of the query interface must be imported from its own module: it imports the
+core of that interface, which a daemon on the users' platform does not load.
 """
 
 from geraniumlead_server.logs.json_formatter import JsonFormatter, configure_logging
--- a/packages/geraniumlead-server/src/geraniumlead_server/logs/json_formatter.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/logs/json_formatter.py
@@ -1,4 +1,4 @@
-"""Format log records as one JSON object a line."""
+"""Format log records as one JSON object per line."""
 
 import logging
 import sys
@@ -10,14 +10,14 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """Write the time, level, name and fields of a record, and who wrote it."""
+    """Formats the time, level, event and fields of a record, with the instance and data centre."""
 
     def __init__(self, instance_id: str, data_centre: str) -> None:
         super().__init__()
         self._origin = {"instance": instance_id, "data_centre": data_centre}
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return one line of JSON without a line break."""
+        """Return one line of JSON without the line break."""
         line = {
             "time": datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds"),
             "level": record.levelname.lower(),
@@ -37,5 +37,5 @@
     handler = handler or logging.StreamHandler(sys.stderr)
     handler.setFormatter(JsonFormatter(settings.instance_id, settings.data_centre))
     logging.basicConfig(level=settings.log_level.upper(), handlers=[handler], force=True)
-    # The access log repeats what the request log says with more fields.
+    # The access log would repeat the request log, which has more fields.
     logging.getLogger("uvicorn.access").disabled = True
--- a/packages/geraniumlead-server/src/geraniumlead_server/logs/queued_output.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/logs/queued_output.py
@@ -1,17 +1,17 @@
-"""Write log lines to a descriptor without ever waiting for its reader."""
+"""Write log lines to a file descriptor without blocking."""
 
 import logging
 import os
 
-MOST_PENDING_BYTES = 65_536
-"""A pipe holds as much; a reader that is further behind gets a count of what it missed."""
+MAX_PENDING_BYTES = 65_536
+"""The capacity of a pipe. Lines beyond it are dropped, and the reader gets their number."""
 
 
 class QueuedOutput(logging.Handler):
-    """Write what the descriptor takes now, keep a little, and drop and count the rest.
+    """A handler that writes without blocking, and drops and counts lines beyond a small buffer.
 
-    Failure: the reader of a pipe stops. With a blocking write the loop would stop with it,
-    and every caller would wait for the log.
+    Failure: the reader of a pipe stops. A blocking write would block the event loop, and
+    every caller would wait for the log.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -22,13 +22,13 @@
         self.dropped_lines = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line, or count it."""
+        """Write one line, or count it as dropped."""
         try:
             line = self.format(record).encode() + b"\n"
         except (TypeError, ValueError):
             self.handleError(record)
             return
-        if len(self._pending) + len(line) > MOST_PENDING_BYTES:
+        if len(self._pending) + len(line) > MAX_PENDING_BYTES:
             self.dropped_lines += 1
             return
         if self.dropped_lines and not self._pending:
@@ -38,14 +38,14 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what the descriptor takes."""
+        """Write as much as the descriptor accepts without blocking."""
         while self._pending:
             try:
                 written = os.write(self._descriptor, self._pending)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                # Nobody reads any more, and there is nowhere else to say so.
+                # The reader has closed the pipe, and there is no other place to report it.
                 self.dropped_lines += self._pending.count(b"\n")
                 self._pending = b""
                 return
--- a/packages/geraniumlead-server/src/geraniumlead_server/logs/request_log.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/logs/request_log.py
@@ -1,13 +1,11 @@
-"""Write a line for each request, as far as the budget of lines goes."""
-
 import logging
 
 from geraniumlead.actions import AnswerCaller
 from geraniumlead.requests import Answered, Failed, NotRun, Unknown
 from geraniumlead_server.telemetry.metrics import outcome_name
 
-MOST_LINES_PER_S = 50.0
-"""Lines a second of one instance; see docs/reference/logs.md for their measured cost."""
+MAX_LINES_PER_S = 50.0
+"""Lines a second of one instance; see docs/reference/logs.md for their cost."""
 
 MILLISECONDS_PER_S = 1000.0
 
@@ -15,22 +13,22 @@
 
 
 class RequestLog:
-    """Log requests within a budget, so that overload can't be made worse by its log.
+    """Logs requests up to a rate of lines, so that logging does not add to an overload.
 
     Load pattern: a burst is refused, thousands of requests a second. One line each would
-    cost more than the refusals. Lines that were left out are counted in the next one.
+    cost more than the refusals. The next line has the number of lines that were skipped.
     """
 
-    def __init__(self, lines_per_s: float = MOST_LINES_PER_S) -> None:
+    def __init__(self, lines_per_s: float = MAX_LINES_PER_S) -> None:
         self._lines_per_s = lines_per_s
-        self._budget = lines_per_s
+        self._tokens = lines_per_s
         self._refilled_ms = float("-inf")
-        self._skipped = 0
+        self._skipped_lines = 0
 
     def observe(self, answer: AnswerCaller, now_ms: float) -> None:
-        """Log one answer, or count it."""
-        if not self._spend(now_ms):
-            self._skipped += 1
+        """Log one answer, or count it as skipped."""
+        if not self._take_token(now_ms):
+            self._skipped_lines += 1
             return
         fields = {
             "request_id": answer.request_id,
@@ -41,24 +39,24 @@
             "queued_ms": round(answer.queued_ms, 2),
             "subqueries": answer.subqueries,
             "extra_subqueries": answer.extra_subqueries,
-            "skipped_lines": self._skipped,
+            "skipped_lines": self._skipped_lines,
             **describe_outcome(answer),
         }
-        self._skipped = 0
+        self._skipped_lines = 0
         logger.info("request", extra={"fields": fields})
 
-    def _spend(self, now_ms: float) -> bool:
+    def _take_token(self, now_ms: float) -> bool:
         refill = (now_ms - self._refilled_ms) * self._lines_per_s / MILLISECONDS_PER_S
-        self._budget = min(self._lines_per_s, self._budget + refill)
+        self._tokens = min(self._lines_per_s, self._tokens + refill)
         self._refilled_ms = now_ms
-        if self._budget < 1:
+        if self._tokens < 1:
             return False
-        self._budget -= 1
+        self._tokens -= 1
         return True
 
 
 def describe_outcome(answer: AnswerCaller) -> dict:
-    """Return the fields that only some outcomes have."""
+    """Return the log fields that are specific to an outcome."""
     match answer.outcome:
         case Answered(index_version=version, coverage=coverage):
             return {
--- a/packages/geraniumlead-server/src/geraniumlead_server/operators/app.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/operators/app.py
@@ -1,5 +1,3 @@
-"""Assemble the operators' HTTP interface."""
-
 import falcon.asgi
 
 from geraniumlead_server.driver import InstanceDriver
@@ -11,12 +9,12 @@
 
 
 def build_operators_app(
-    driver: InstanceDriver, recent: RecentRequests, page: MetricsPage
+    driver: InstanceDriver, recent_requests: RecentRequests, metrics_page: MetricsPage
 ) -> falcon.asgi.App:
-    """Return the ASGI application that operators reach; it only reads."""
+    """Return the ASGI application for operators; it is read-only."""
     app = falcon.asgi.App()
     app.add_route("/v1/status", StatusResource(driver))
     app.add_route("/v1/documents", DocumentsResource(driver))
-    app.add_route("/v1/requests/{request_id}", RequestsResource(recent))
-    app.add_route("/metrics", page)
+    app.add_route("/v1/requests/{request_id}", RequestsResource(recent_requests))
+    app.add_route("/metrics", metrics_page)
     return app
--- a/packages/geraniumlead-server/src/geraniumlead_server/operators/documents.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/operators/documents.py
@@ -1,4 +1,4 @@
-"""Serve GET /v1/documents: what is in force here."""
+"""Serve GET /v1/documents: the configuration in force on this instance."""
 
 import falcon
 from msgspec import to_builtins
@@ -14,27 +14,27 @@
 
 
 class DocumentsResource:
-    """Give the documents in force by key, without the digests of credentials."""
+    """The resource with the documents in force by key, without digests of credentials."""
 
     def __init__(self, driver: InstanceDriver) -> None:
         self._driver = driver
 
     async def on_get(self, request, response) -> None:
-        """Return one kind of document, or all."""
+        """Return the documents of one kind, or all."""
         kind = request.get_param("kind")
         if kind is not None and kind not in {item.value for item in DocumentKind}:
             raise falcon.HTTPBadRequest(title="there is no such kind of document")
         store = self._driver.instance.parts.store
         documents = {
             key: document
-            for key, document in find_documents(store.view).items()
+            for key, document in collect_documents(store.view).items()
             if kind is None or key.split("/")[1] == kind
         }
         response.content_type = falcon.MEDIA_JSON
         response.data = encode({"revision": store.revision, "documents": documents})
 
 
-def find_documents(view) -> dict[str, object]:
+def collect_documents(view) -> dict[str, object]:
     """Return every document in force by its key."""
     documents: dict[str, object] = {}
     for name, contract in view.contracts.items():
--- a/packages/geraniumlead-server/src/geraniumlead_server/operators/recent_requests.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/operators/recent_requests.py
@@ -1,4 +1,4 @@
-"""Remember what became of the latest requests."""
+"""Keep the outcomes of the latest requests for operators."""
 
 from collections import OrderedDict
 
@@ -10,12 +10,12 @@
 from geraniumlead_server.logs.request_log import describe_outcome
 from geraniumlead_server.telemetry.metrics import outcome_name
 
-MOST_REQUESTS = 1_000
-MOST_UPSTREAMS_PER_REQUEST = 32
+MAX_REQUESTS = 1_000
+MAX_UPSTREAMS_PER_REQUEST = 32
 
 
-class SeenRequest(Struct, kw_only=True):
-    """Tell what an operator asks about one request."""
+class RecentRequest(Struct, kw_only=True):
+    """What an operator may look up about one request."""
 
     request_id: str
     contract: str
@@ -37,19 +37,19 @@
 
 
 class RecentRequests:
-    """Keep a bounded number of requests; the oldest goes first.
+    """A bounded number of requests; the oldest is removed first.
 
-    Upstreams are noted in the order of sending, the first few of each request only: at a
-    thousand shards a request the names would cost more memory than the rest of the process.
+    Only the first upstreams of each request are recorded, in the order of sending: at a
+    thousand shards a request all names would use more memory than the rest of the process.
     """
 
-    def __init__(self, most: int = MOST_REQUESTS) -> None:
-        self._most = most
-        self._seen: OrderedDict[str, SeenRequest] = OrderedDict()
+    def __init__(self, max_requests: int = MAX_REQUESTS) -> None:
+        self._max_requests = max_requests
+        self._requests: OrderedDict[str, RecentRequest] = OrderedDict()
 
-    def open(self, request: CallerRequest) -> None:
-        """Note a request that arrived."""
-        self._seen[request.request_id] = SeenRequest(
+    def record_arrival(self, request: CallerRequest) -> None:
+        """Record a request that arrived."""
+        self._requests[request.request_id] = RecentRequest(
             request_id=request.request_id,
             contract=request.customer,
             class_name=request.class_name,
@@ -59,40 +59,40 @@
             allowed_ms=round(request.deadline_ms - request.arrived_ms, 1),
             least_coverage=request.least_coverage,
         )
-        if len(self._seen) > self._most:
-            self._seen.popitem(last=False)
+        if len(self._requests) > self._max_requests:
+            self._requests.popitem(last=False)
 
-    def note_subquery(self, subquery: Subquery, through: str) -> None:
-        """Note a subquery that goes to an upstream, ``through`` this instance or an owner."""
-        seen = self._seen.get(subquery.request_id)
-        if seen is None:
+    def record_subquery(self, subquery: Subquery, sender_id: str) -> None:
+        """Record a subquery; ``sender_id`` is this instance or the owner that sends it."""
+        entry = self._requests.get(subquery.request_id)
+        if entry is None:
             return
-        if len(seen.upstreams) < MOST_UPSTREAMS_PER_REQUEST:
-            seen.upstreams[subquery.upstream_id] = through
+        if len(entry.upstreams) < MAX_UPSTREAMS_PER_REQUEST:
+            entry.upstreams[subquery.upstream_id] = sender_id
         else:
-            seen.upstreams_left_out += 1
+            entry.upstreams_left_out += 1
 
     def observe(self, answer: AnswerCaller, now_ms: float) -> None:
-        """Note an outcome."""
-        seen = self._seen.get(answer.request_id)
-        if seen is None:
+        """Record the outcome of a request."""
+        entry = self._requests.get(answer.request_id)
+        if entry is None:
             return
-        seen.outcome = outcome_name(answer)
-        seen.latency_ms = round(now_ms - answer.arrived_ms, 2)
-        seen.queued_ms = round(answer.queued_ms, 2)
-        seen.subqueries = answer.subqueries
-        seen.extra_subqueries = answer.extra_subqueries
-        seen.details = describe_outcome(answer)
+        entry.outcome = outcome_name(answer)
+        entry.latency_ms = round(now_ms - answer.arrived_ms, 2)
+        entry.queued_ms = round(answer.queued_ms, 2)
+        entry.subqueries = answer.subqueries
+        entry.extra_subqueries = answer.extra_subqueries
+        entry.details = describe_outcome(answer)
         match answer.outcome:
             case Answered(coverage=coverage) | Failed(coverage=coverage) if coverage is not None:
                 for item in coverage.missing:
                     reason = item.reason.value
-                    seen.missing[reason] = seen.missing.get(reason, 0) + 1
+                    entry.missing[reason] = entry.missing.get(reason, 0) + 1
 
-    def find(self, request_id: str) -> list[SeenRequest]:
-        """Return the requests with an identifier, or that a caller gave this identifier."""
-        exact = self._seen.get(request_id)
+    def find(self, request_id: str) -> list[RecentRequest]:
+        """Return the requests with this identifier, either the instance's or the caller's."""
+        exact = self._requests.get(request_id)
         if exact is not None:
             return [exact]
         prefix = f"{request_id}."
-        return [seen for name, seen in self._seen.items() if name.startswith(prefix)]
+        return [entry for name, entry in self._requests.items() if name.startswith(prefix)]
--- a/packages/geraniumlead-server/src/geraniumlead_server/operators/requests.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/operators/requests.py
@@ -7,14 +7,14 @@
 
 
 class RequestsResource:
-    """Explain one request that this instance took lately."""
+    """The resource with the details of one recent request."""
 
-    def __init__(self, recent: RecentRequests) -> None:
-        self._recent = recent
+    def __init__(self, recent_requests: RecentRequests) -> None:
+        self._recent_requests = recent_requests
 
     async def on_get(self, request, response, request_id: str) -> None:
-        """Return what is remembered of a request; 404 when nothing is."""
-        found = self._recent.find(request_id)
+        """Return the recorded details of a request; respond 404 if there are none."""
+        found = self._recent_requests.find(request_id)
         if not found:
             raise falcon.HTTPNotFound(title="this instance does not remember the request")
         response.content_type = falcon.MEDIA_JSON
--- a/packages/geraniumlead-server/src/geraniumlead_server/operators/status.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/operators/status.py
@@ -7,7 +7,7 @@
 
 
 class StatusResource:
-    """Show what an instance knows and does."""
+    """The resource with the instance's state and view of the cluster."""
 
     def __init__(self, driver: InstanceDriver) -> None:
         self._driver = driver
--- a/packages/geraniumlead-server/src/geraniumlead_server/peer_transport/__init__.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/peer_transport/__init__.py
@@ -1,6 +1,6 @@
-"""Carry messages between instances."""
+"""Send and receive messages between instances."""
 
-from geraniumlead_server.peer_transport.letter import Letter, PeerCodec
+from geraniumlead_server.peer_transport.outgoing_message import OutgoingMessage, PeerCodec
 from geraniumlead_server.peer_transport.transport import PeerTransport
 
-__all__ = ["Letter", "PeerCodec", "PeerTransport"]
+__all__ = ["OutgoingMessage", "PeerCodec", "PeerTransport"]
--- a/packages/geraniumlead-server/src/geraniumlead_server/peer_transport/letter.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/peer_transport/outgoing_message.py
@@ -1,12 +1,12 @@
-"""Define what the transport needs to know of a message and its encoding."""
+"""Define the interfaces of messages and codecs that the transport uses."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any, Protocol
 
 
-class Letter(Protocol):
-    """Name a message, its receiver, and the receiver's key (empty without keys)."""
+class OutgoingMessage(Protocol):
+    """A message with its receiver's name, address and public key (empty without keys)."""
 
     instance_id: str
     address: str
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerCodec:
-    """Hold the two directions of an encoding; ``decode`` returns None for what is malformed."""
+    """Encodes and decodes messages; ``decode`` returns None for malformed data."""
 
     encode: Callable[[Any], bytes]
     decode: Callable[[bytes | memoryview], Any]
--- a/packages/geraniumlead-server/src/geraniumlead_server/peer_transport/published_keys.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/peer_transport/published_keys.py
@@ -1,16 +1,14 @@
-"""Tell which listed instance a CURVE key belongs to."""
-
 from collections.abc import Callable
 
 from geraniumlead.configuration import ClusterView
 
 
 class PublishedKeys:
-    """Map the published public keys to their owners.
+    """Maps published CURVE public keys to the listed instances that own them.
 
-    ``get_view`` returns the view in force. An authenticator's callback asks for each new
-    connection, and the transport for each message, so a peer that leaves the list is not
-    heard any more, although its connection may still be open.
+    ``get_view`` returns the current view. The authenticator looks up the key of each new
+    connection and the transport that of each message, so messages of a peer that left the
+    list are discarded, although its connection may still be open.
     """
 
     __slots__ = ("_get_view", "_owner_of_key", "_view")
@@ -21,7 +19,7 @@
         self._owner_of_key: dict[str, str] = {}
 
     def owner_of(self, key: str) -> str | None:
-        """Return the instance that publishes the Z85 key, or None."""
+        """Return the instance that published the Z85-encoded key, or None."""
         view = self._get_view()
         if view is not self._view:
             self._view = view
@@ -34,5 +32,5 @@
         return self._owner_of_key.get(key)
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Let a key in or not; called by the ZAP authenticator under this name."""
+        """Return whether a key is accepted; the ZAP authenticator calls this name."""
         return self.owner_of(key.decode()) is not None
--- a/packages/geraniumlead-server/src/geraniumlead_server/peer_transport/transport.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/peer_transport/transport.py
@@ -10,46 +10,46 @@
 
 from geraniumlead.peering.outgoing_peer_message import SEED_PREFIX
 from geraniumlead.settings import InstanceSettings, PlatformSettings
-from geraniumlead_server.peer_transport.dealers import Dealers
-from geraniumlead_server.peer_transport.letter import Letter, PeerCodec
+from geraniumlead_server.peer_transport.dealer_pool import DealerPool
+from geraniumlead_server.peer_transport.outgoing_message import OutgoingMessage, PeerCodec
 
 if TYPE_CHECKING:
     from geraniumlead_server.peer_transport.published_keys import PublishedKeys
 
 logger = logging.getLogger("geraniumlead")
 
-HIGH_WATER_MESSAGES = 1_000
-UNACKNOWLEDGED_MS = 3_000
-"""Time after which a connection whose data nobody acknowledges is replaced. It costs nothing
-while the connection is idle; heartbeats of ZeroMQ each second on the 460 connections of a
-large data centre would take several times what control may cost."""
+HIGH_WATER_MARK_MESSAGES = 1_000
+UNACKNOWLEDGED_TIMEOUT_MS = 3_000
+"""Time after which a connection whose data is not acknowledged is replaced. This costs nothing
+while the connection is idle; ZeroMQ heartbeats each second on the 460 connections of a large
+data centre would cost several times what control messages may cost."""
 
 KEEPALIVE_IDLE_S = 60
-"""An accepted connection that was silent for so long is asked whether it lives."""
+"""Idle time after which TCP keepalive probes an accepted connection."""
 
-RECONNECT_MS = 100
-LONGEST_RECONNECT_MS = 2_000
-MOST_AT_ONCE = 100
-"""Messages taken in before other work of the loop has its turn."""
+RECONNECT_INTERVAL_MS = 100
+MAX_RECONNECT_INTERVAL_MS = 2_000
+MAX_MESSAGES_PER_TURN = 100
+"""Messages received in a row before other callbacks of the loop may run."""
 
 ZAP_DOMAIN = "peers"
 
-NAME_SEPARATOR = "/"
-"""Ends the instance's name in the identity of a connection; names hold no slash."""
+IDENTITY_SEPARATOR = "/"
+"""Separates the instance's name from a suffix in a connection's identity; names have no slash."""
 
 
 class PeerTransport:
-    """Bind one ROUTER for what comes in, and keep one DEALER for each peer written to.
+    """Receives messages on one ROUTER socket and sends them on one DEALER socket per peer.
 
-    A message that cannot be queued is dropped: every message may be lost, and the decisions
-    above rely on none. The kernel ends
-    connections that went silent: what was written to them is never acknowledged.
+    A message that cannot be queued is dropped: any message may be lost, and the core relies
+    on none. The kernel closes connections that have gone silent, since data sent on them is
+    never acknowledged.
 
-    With keys, the sender of a message is the owner of the key that its connection proved;
-    the name that it gives itself counts for nothing, and unknown keys are refused. Without
-    keys, which is for development only, the sender is who it says.
+    With keys, the sender of a message is the owner of the key that authenticated its
+    connection; the name in the identity is ignored, and unknown keys are refused. Without
+    keys, which is for development only, the name in the identity is trusted.
 
-    The ROUTER is a plain socket whose file descriptor the loop watches: the awaitable socket
+    The ROUTER is a plain socket whose file descriptor the loop monitors: the awaitable socket
     costs a future and a poll for each message (docs/measurements/peer-transport.md).
     """
 
@@ -66,47 +66,47 @@
         self._codec = codec
         self._context = zmq.asyncio.Context()
         self._router = self._context.socket(zmq.ROUTER, socket_class=zmq.Socket)
-        self._dealers = Dealers(self._open_dealer)
+        self._dealers = DealerPool(self._open_dealer)
         self._authenticator = None
         self._loop = asyncio.get_running_loop()
-        self._receiving: asyncio.Handle | None = None
+        self._receive_handle: asyncio.Handle | None = None
         self._last_message: Any = None
         self._last_bytes = b""
 
     @property
     def has_keys(self) -> bool:
-        """Return whether connections are encrypted and their peers proven."""
+        """Return whether connections are encrypted and their peers authenticated."""
         return bool(self._settings.peer_secret_key)
 
     def start(self) -> None:
-        """Bind and receive."""
+        """Bind the ROUTER socket and start to receive."""
         self._configure(self._router)
         if self.has_keys:
             self._require_keys()
         else:
-            # A peer that restarts connects under its old name before the old connection
-            # is gone.
+            # A peer that restarts may connect with its old identity before the old
+            # connection is closed.
             self._router.setsockopt(zmq.ROUTER_HANDOVER, 1)
         self._router.bind(f"tcp://{self._settings.listen.peers}")
         self._loop.add_reader(self._router.getsockopt(zmq.FD), self._receive)
         self._receive()
 
-    def send(self, action: Letter) -> None:
-        """Queue a message for a peer, or drop it when the peer takes none."""
-        if self.has_keys and not action.public_key:
-            logger.warning("peer_without_key", extra={"fields": {"peer": action.instance_id}})
+    def send(self, outgoing: OutgoingMessage) -> None:
+        """Queue a message for a peer, or drop it if the connection accepts none."""
+        if self.has_keys and not outgoing.public_key:
+            logger.warning("peer_without_key", extra={"fields": {"peer": outgoing.instance_id}})
             return
-        dealer = self._dealers.socket_for(action, self._loop.time())
+        dealer = self._dealers.socket_for(outgoing, self._loop.time())
         try:
-            dealer.send(self._encode(action.message), zmq.NOBLOCK)
+            dealer.send(self._encode(outgoing.message), zmq.NOBLOCK)
         except zmq.Again:
-            self._dealers.note_blocked(action.instance_id, self._loop.time())
-            logger.debug("peer_message_dropped", extra={"fields": {"peer": action.instance_id}})
+            self._dealers.record_blocked(outgoing.instance_id, self._loop.time())
+            logger.debug("peer_message_dropped", extra={"fields": {"peer": outgoing.instance_id}})
 
     def _encode(self, message: Any) -> bytes:
-        """Return a message's bytes, made once for all who get the same message in a row.
+        """Return the encoded message, cached for as long as the same message is sent in a row.
 
-        A large configuration that goes to ten peers would take ten milliseconds for each.
+        Encoding a large configuration for each of ten peers would take ten milliseconds each.
         """
         if message is not self._last_message:
             self._last_message = message
@@ -114,16 +114,16 @@
         return self._last_bytes
 
     def close(self) -> None:
-        """Close all sockets; unsent messages get a moment to leave."""
+        """Close all sockets after a short time to send queued messages."""
         self._loop.remove_reader(self._router.getsockopt(zmq.FD))
-        if self._receiving is not None:
-            self._receiving.cancel()
+        if self._receive_handle is not None:
+            self._receive_handle.cancel()
         if self._authenticator is not None:
             self._authenticator.stop()
         self._context.destroy(linger=200)
 
     def _require_keys(self) -> None:
-        # Loaded only here: it takes a tenth of a start, and not all deployments have keys.
+        # Imported here: it takes a tenth of the start-up time, and not all deployments have keys.
         from zmq.auth.asyncio import AsyncioAuthenticator
 
         self._authenticator = AsyncioAuthenticator(self._context)
@@ -134,18 +134,19 @@
         self._set_keys(self._router)
 
     def _receive(self) -> None:
-        # The descriptor only tells of changes, so everything must be taken before the next
-        # wait; a rest that is left for the others' turn is taken without being told.
-        self._receiving = None
-        for _ in range(MOST_AT_ONCE):
+        # The descriptor is edge-triggered, so all messages must be received before the next
+        # wait. Those beyond MAX_MESSAGES_PER_TURN are received in a later callback of the loop,
+        # which does not depend on the descriptor.
+        self._receive_handle = None
+        for _ in range(MAX_MESSAGES_PER_TURN):
             try:
                 frames = self._router.recv_multipart(zmq.NOBLOCK, copy=not self.has_keys)
             except zmq.Again:
                 return
-            self._take(frames)
-        self._receiving = self._loop.call_soon(self._receive)
+            self._handle_frames(frames)
+        self._receive_handle = self._loop.call_soon(self._receive)
 
-    def _take(self, frames: list) -> None:
+    def _handle_frames(self, frames: list) -> None:
         sender_id = self._find_sender(frames)
         if sender_id is None:
             logger.warning("peer_message_of_unlisted_sender")
@@ -160,29 +161,29 @@
     def _find_sender(self, frames: list) -> str | None:
         if self.has_keys:
             return self._keys.owner_of(frames[-1].get("User-Id"))
-        return frames[0].decode(errors="replace").partition(NAME_SEPARATOR)[0]
+        return frames[0].decode(errors="replace").partition(IDENTITY_SEPARATOR)[0]
 
-    def _open_dealer(self, action: Letter) -> zmq.Socket:
+    def _open_dealer(self, outgoing: OutgoingMessage) -> zmq.Socket:
         dealer = self._context.socket(zmq.DEALER, socket_class=zmq.Socket)
         self._configure(dealer)
         if self.has_keys:
             self._set_keys(dealer)
-            dealer.curve_serverkey = action.public_key.encode()
+            dealer.curve_serverkey = outgoing.public_key.encode()
         else:
-            # Two connections under one name would take it from each other again and again.
-            is_named = not action.instance_id.startswith(SEED_PREFIX)
-            suffix = "" if is_named else f"{NAME_SEPARATOR}seed"
+            # Two connections with the same identity would keep taking it over from each other.
+            is_named = not outgoing.instance_id.startswith(SEED_PREFIX)
+            suffix = "" if is_named else f"{IDENTITY_SEPARATOR}seed"
             dealer.setsockopt(zmq.IDENTITY, f"{self._settings.instance_id}{suffix}".encode())
-        dealer.connect(f"tcp://{action.address}")
+        dealer.connect(f"tcp://{outgoing.address}")
         return dealer
 
     def _configure(self, socket: zmq.Socket) -> None:
-        socket.setsockopt(zmq.SNDHWM, HIGH_WATER_MESSAGES)
-        socket.setsockopt(zmq.RCVHWM, HIGH_WATER_MESSAGES)
+        socket.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK_MESSAGES)
+        socket.setsockopt(zmq.RCVHWM, HIGH_WATER_MARK_MESSAGES)
         socket.setsockopt(zmq.LINGER, 0)
-        socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
-        socket.setsockopt(zmq.RECONNECT_IVL_MAX, LONGEST_RECONNECT_MS)
-        socket.setsockopt(zmq.TCP_MAXRT, UNACKNOWLEDGED_MS)
+        socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_INTERVAL_MS)
+        socket.setsockopt(zmq.RECONNECT_IVL_MAX, MAX_RECONNECT_INTERVAL_MS)
+        socket.setsockopt(zmq.TCP_MAXRT, UNACKNOWLEDGED_TIMEOUT_MS)
         socket.setsockopt(zmq.TCP_KEEPALIVE, 1)
         socket.setsockopt(zmq.TCP_KEEPALIVE_IDLE, KEEPALIVE_IDLE_S)
 
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_client/__init__.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_client/__init__.py
@@ -1,4 +1,4 @@
-"""Read and watch the platform's configuration service."""
+"""Client of the platform's configuration service."""
 
 from geraniumlead_server.platform_client.client import PlatformClient
 
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_client/client.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_client/client.py
@@ -1,4 +1,4 @@
-"""Keep the configuration coming: one full read, then a watch from its revision."""
+"""Follow the configuration: one full read, then a watch from its revision."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,10 +22,10 @@
 
 CONNECT_TIMEOUT_S = 1.0
 READ_TIMEOUT_S = 3.0
-CHECK_INTERVAL_S = 1.0
-"""A silent watch is found after two checks, well within the time for a change."""
+WATCH_CHECK_INTERVAL_S = 1.0
+"""A silent watch is detected after two checks, well within the time allowed for a change."""
 
-LINE_LIMIT_BYTES = 8 * 1024 * 1024
+MAX_LINE_BYTES = 8 * 1024 * 1024
 
 _RANGE = Decoder(RangeResponse)
 _WATCH = Decoder(WatchLine)
@@ -34,7 +34,7 @@
 
 
 class PlatformClient:
-    """Read the platform while asked to, over whichever of its addresses answers."""
+    """Reads and watches the platform on request, using any of its addresses that answers."""
 
     def __init__(
         self,
@@ -51,33 +51,33 @@
         self._budget = CallBudget(asyncio.get_running_loop().time())
 
     def watch(self, read_number: int) -> None:
-        """Read anew and watch from there; a watch that runs is replaced."""
+        """Read everything and watch from that revision, replacing a running watch."""
         self.stop()
-        self._task = asyncio.get_running_loop().create_task(self._follow(read_number))
+        self._task = asyncio.get_running_loop().create_task(self._read_and_watch(read_number))
 
     def read_once(self, read_number: int) -> None:
-        """Make one full read, unless one with this number runs."""
+        """Start one full read, unless one with this number is running."""
         if read_number in self._reads:
             return
-        task = asyncio.get_running_loop().create_task(self._read_anywhere(read_number))
+        task = asyncio.get_running_loop().create_task(self._read_from_any_address(read_number))
         self._reads[read_number] = task
         task.add_done_callback(lambda _: self._reads.pop(read_number, None))
 
     def stop(self) -> None:
-        """End the watch."""
+        """Stop the watch."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     async def close(self) -> None:
-        """End all calls and close the connections."""
+        """Cancel all calls and close the connections."""
         self.stop()
         for task in list(self._reads.values()):
             task.cancel()
         if self._session is not None:
             await self._session.close()
 
-    async def _follow(self, read_number: int) -> None:
+    async def _read_and_watch(self, read_number: int) -> None:
         backoff = Backoff(self._random)
         while True:
             address = self._next_address()
@@ -89,7 +89,7 @@
                 self._report(PlatformSilent(f"{address}: {type(error).__name__}"))
             await asyncio.sleep(backoff.next_pause_s())
 
-    async def _read_anywhere(self, read_number: int) -> None:
+    async def _read_from_any_address(self, read_number: int) -> None:
         for _ in self._addresses:
             address = self._next_address()
             try:
@@ -103,14 +103,14 @@
         revision = int(found.header.revision)
         documents = tuple(item.to_versioned() for item in found.kvs)
         seen = SeenKeys()
-        seen.take(documents, revision, is_snapshot=True)
+        seen.update(documents, revision, is_snapshot=True)
         self._report(DocumentsReceived(revision, documents, True, read_number))
         return seen
 
     async def _watch_and_check(self, address: str, seen: SeenKeys) -> None:
         tasks = [
             asyncio.create_task(self._watch(address, seen)),
-            asyncio.create_task(self._check(address, seen)),
+            asyncio.create_task(self._check_watch(address, seen)),
         ]
         try:
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -131,23 +131,25 @@
             async for line in response.content:
                 result = _WATCH.decode(line).result
                 if result.canceled:
-                    # The revision was compacted away: only a full read can close the gap.
+                    # The revision was compacted: only a full read returns the missing changes.
                     return
                 if not result.events:
                     continue
-                documents = tuple(_versioned_of(event) for event in result.events)
-                before, revision = seen.revision, int(result.header.revision)
-                seen.take(documents, revision, is_snapshot=False)
-                self._report(DocumentsReceived(revision, documents, False, above_revision=before))
-
-    async def _check(self, address: str, seen: SeenKeys) -> None:
+                documents = tuple(_to_versioned_value(event) for event in result.events)
+                previous_revision, revision = seen.revision, int(result.header.revision)
+                seen.update(documents, revision, is_snapshot=False)
+                self._report(
+                    DocumentsReceived(revision, documents, False, above_revision=previous_revision)
+                )
+
+    async def _check_watch(self, address: str, seen: SeenKeys) -> None:
         mismatches = 0
         while mismatches < 2:
-            await asyncio.sleep(CHECK_INTERVAL_S)
+            await asyncio.sleep(WATCH_CHECK_INTERVAL_S)
             found = await self._range(address, newest_key_range())
             if int(found.header.revision) < seen.revision:
-                # An old copy answers: changes that it is given now would come below the
-                # revision that the watch waits for, so only a new read shows them.
+                # An old copy of the store answers, for instance after a restore: new changes get
+                # revisions below the one that the watch waits for, so only a new read finds them.
                 return
             newest = int(found.kvs[0].mod_revision) if found.kvs else 0
             if seen.matches(newest, int(found.count)):
@@ -155,19 +157,19 @@
                 revision = seen.revision
                 self._report(DocumentsReceived(revision, (), False, above_revision=revision))
             else:
-                # The watch may just be about to tell; at the second time it is silent.
+                # The watch may be about to deliver the change; at the second mismatch it is silent.
                 mismatches += 1
 
-    async def _range(self, address: str, selected: dict) -> RangeResponse:
+    async def _range(self, address: str, selection: dict) -> RangeResponse:
         await self._wait_for_budget()
         async with self._client().post(
-            f"http://{address}/v3/kv/range", json=selected, timeout=_READ_TIMEOUT
+            f"http://{address}/v3/kv/range", json=selection, timeout=_READ_TIMEOUT
         ) as response:
             response.raise_for_status()
             return _RANGE.decode(await response.read())
 
     async def _wait_for_budget(self) -> None:
-        wait_s = self._budget.take(asyncio.get_running_loop().time())
+        wait_s = self._budget.reserve(asyncio.get_running_loop().time())
         if wait_s > 0.0:
             await asyncio.sleep(wait_s)
 
@@ -177,9 +179,9 @@
 
     def _client(self) -> ClientSession:
         if self._session is None:
-            self._session = ClientSession(read_bufsize=LINE_LIMIT_BYTES)
+            self._session = ClientSession(read_bufsize=MAX_LINE_BYTES)
         return self._session
 
 
-def _versioned_of(event) -> VersionedValue:
+def _to_versioned_value(event) -> VersionedValue:
     return event.kv.to_deletion() if event.type == "DELETE" else event.kv.to_versioned()
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_client/errors.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_client/errors.py
@@ -1,4 +1,4 @@
-"""Name the failures of a call to the platform that the client goes on after."""
+"""Exceptions of a call to the platform after which the client goes on to the next address."""
 
 from aiohttp import ClientError
 from msgspec import DecodeError
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_client/seen_keys.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_client/seen_keys.py
@@ -1,14 +1,12 @@
-"""Remember what the platform told, to notice a watch that went silent."""
-
 from geraniumlead.documents import VersionedValue
 
 
 class SeenKeys:
-    """Know which keys live and the newest revision among them.
+    """The keys that exist and their newest revision, as received from the platform.
 
-    A watch whose connection was lost track of on the way stays open and says nothing, just
-    like one without news. A small read of the newest revision and the number of keys shows
-    the difference.
+    A watch whose connection was lost on the network path without a reset stays open and
+    delivers nothing, just like a watch without changes. Comparing this state with a small read
+    of the newest revision and the number of keys tells the two apart.
     """
 
     __slots__ = ("_keys", "newest_revision", "revision")
@@ -18,8 +16,10 @@
         self.newest_revision = 0
         self.revision = 0
 
-    def take(self, documents: tuple[VersionedValue, ...], revision: int, is_snapshot: bool) -> None:
-        """Note what a read or a watch told."""
+    def update(
+        self, documents: tuple[VersionedValue, ...], revision: int, is_snapshot: bool
+    ) -> None:
+        """Apply the documents of a read (a snapshot) or of a watch."""
         if is_snapshot:
             self._keys.clear()
             self.newest_revision = 0
@@ -32,5 +32,5 @@
         self.revision = revision
 
     def matches(self, newest_revision: int, key_count: int) -> bool:
-        """Return whether the platform holds nothing that was not told."""
+        """Return whether a newest revision and a number of keys show no change that was missed."""
         return newest_revision <= self.newest_revision and key_count == len(self._keys)
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_client/wire.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_client/wire.py
@@ -1,4 +1,4 @@
-"""Describe the JSON of the etcd v3 gateway that the platform speaks."""
+"""JSON messages of the etcd v3 gateway, which is the platform's interface."""
 
 from base64 import b64decode, b64encode
 
@@ -8,20 +8,20 @@
 
 
 class Header(Struct):
-    """Carry the revision of the whole store; 64-bit numbers travel as strings."""
+    """The revision of the whole store; 64-bit numbers are encoded as strings."""
 
     revision: str = "0"
 
 
 class KeyValue(Struct):
-    """Carry one key in base64."""
+    """One key and its value, both in base64."""
 
     key: str
     value: str = ""
     mod_revision: str = "0"
 
     def to_versioned(self) -> VersionedValue:
-        """Return the value that was put."""
+        """Return the stored value with its revision."""
         return VersionedValue(
             b64decode(self.key).decode(), int(self.mod_revision), b64decode(self.value)
         )
@@ -32,7 +32,7 @@
 
 
 class RangeResponse(Struct):
-    """Be the answer of /v3/kv/range; ``count`` is of all keys, whatever the limit."""
+    """The response of /v3/kv/range; ``count`` counts all selected keys, whatever the limit."""
 
     header: Header
     kvs: list[KeyValue] = field(default_factory=list)
@@ -40,14 +40,14 @@
 
 
 class WatchEvent(Struct):
-    """Carry one change; a missing type is a put."""
+    """One change; a missing type means a put."""
 
     kv: KeyValue
     type: str = "PUT"
 
 
 class WatchResult(Struct):
-    """Be one message of a watch."""
+    """One message of a watch."""
 
     header: Header
     events: list[WatchEvent] = field(default_factory=list)
@@ -57,23 +57,23 @@
 
 
 class WatchLine(Struct):
-    """Be one line of the watch's body."""
+    """One line of the watch's response body."""
 
     result: WatchResult
 
 
-def encode_text(text: str) -> str:
-    """Return base64, in which keys travel."""
+def encode_base64(text: str) -> str:
+    """Return a text in base64, the encoding of keys."""
     return b64encode(text.encode()).decode()
 
 
 def prefix_range() -> dict[str, str]:
-    """Return the key and range_end that select every key below the prefix."""
+    """Return the key and range_end that select every key with the prefix."""
     end = KEY_PREFIX[:-1] + chr(ord(KEY_PREFIX[-1]) + 1)
-    return {"key": encode_text(KEY_PREFIX), "range_end": encode_text(end)}
+    return {"key": encode_base64(KEY_PREFIX), "range_end": encode_base64(end)}
 
 
 def newest_key_range() -> dict[str, str | bool]:
-    """Return a range that selects the key changed last, without its value, and the count."""
+    """Return a range that selects the last changed key, without its value, and the count."""
     newest = {"limit": "1", "sort_order": "DESCEND", "sort_target": "MOD", "keys_only": True}
     return prefix_range() | newest
--- a/packages/geraniumlead-server/src/geraniumlead_server/telemetry/counted_series.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/telemetry/counted_series.py
@@ -1,4 +1,4 @@
-"""Count events in plain dictionaries until the page is asked for."""
+"""Count events in plain dictionaries until metrics are collected."""
 
 from collections.abc import Iterator
 
@@ -6,10 +6,10 @@
 
 
 class CountedSeries:
-    """Be one observable counter by contract, class and at most one more label.
+    """An observable counter by contract, class and at most one more label.
 
-    Load pattern: thousands of refusals a second. The library's own counter takes about ten
-    microseconds to add one, more than the refusal itself; an addition here takes less than one.
+    Load pattern: thousands of refusals a second. An increment of the library's own counter
+    takes about ten microseconds, more than the refusal itself; here it takes less than one.
     """
 
     def __init__(self, extra_label: str | None = None) -> None:
@@ -17,12 +17,12 @@
         self._counts: dict[tuple[str, str, str], int] = {}
 
     def add(self, labels: dict[str, str], value: str = "", count: int = 1) -> None:
-        """Count events; ``value`` is that of the extra label."""
+        """Add to a count; ``value`` is the value of the extra label."""
         key = (labels["contract"], labels["class"], value)
         self._counts[key] = self._counts.get(key, 0) + count
 
     def observe(self, options: CallbackOptions) -> Iterator[Observation]:
-        """Yield the counts so far."""
+        """Yield the current counts."""
         for (contract, class_name, value), count in self._counts.items():
             labels = {"contract": contract, "class": class_name}
             if self._extra_label is not None:
--- a/packages/geraniumlead-server/src/geraniumlead_server/telemetry/label_book.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/telemetry/label_registry.py
@@ -1,20 +1,18 @@
-"""Bound the label sets of metrics."""
-
 from geraniumlead.configuration import ClusterView
 
 OTHER = "other"
-MOST_LABELS = 500
+MAX_LABELS = 500
 
 
-class LabelBook:
-    """Give labels to contracts and classes in force, and one label to all else.
+class LabelRegistry:
+    """Assigns labels to contracts and classes in force, and one common label to all others.
 
-    A label that was once given stays in memory for the life of the process, so a made-up
-    name, or contracts that come and go for months, could otherwise grow it without bound.
+    A label stays in memory until the process ends. Without the limit, made-up names, or
+    contracts that are added and removed for months, could use memory without bound.
     """
 
-    def __init__(self, most: int = MOST_LABELS) -> None:
-        self._most = most
+    def __init__(self, max_labels: int = MAX_LABELS) -> None:
+        self._max_labels = max_labels
         self._labels: dict[tuple[str, str], dict[str, str]] = {}
         self._other = {"contract": OTHER, "class": OTHER}
 
@@ -26,7 +24,7 @@
         contract = view.contracts.get(customer)
         if contract is None or all(item.name != class_name for item in contract.classes):
             return self._other
-        if len(self._labels) >= self._most:
+        if len(self._labels) >= self._max_labels:
             return self._other
         labels = {"contract": customer, "class": class_name}
         self._labels[customer, class_name] = labels
--- a/packages/geraniumlead-server/src/geraniumlead_server/telemetry/metrics.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/telemetry/metrics.py
@@ -12,17 +12,17 @@
 from geraniumlead.requests import Answered, Failed, NotRun, Unknown
 from geraniumlead_server.forwarding_telemetry.bounds import LATENCY_BOUNDS_MS
 from geraniumlead_server.telemetry.counted_series import CountedSeries
-from geraniumlead_server.telemetry.label_book import LabelBook
+from geraniumlead_server.telemetry.label_registry import LabelRegistry
 
 COVERAGE_BOUNDS = (0.0, 0.5, 0.8, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999, 1.0)
 FAN_OUT_BOUNDS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1200, 4096)
 
-STATUS_HOLDS_MS = 50.0
-"""One page asks for the status once a gauge; they come within this time."""
+STATUS_CACHE_MS = 50.0
+"""A collection reads the status once for each gauge, all within this time."""
 
 
 class RequestMetrics:
-    """Take every answer, and read the instance when the page is asked for."""
+    """Records every answer, and reads the instance's status when metrics are collected."""
 
     def __init__(
         self, instance: Instance, reader: MetricReader, now_ms: Callable[[], float]
@@ -31,7 +31,7 @@
         self._now_ms = now_ms
         self._status: InstanceStatus | None = None
         self._status_ms = 0.0
-        self._labels = LabelBook()
+        self._labels = LabelRegistry()
         meter = MeterProvider([reader], shutdown_on_exit=False).get_meter("geraniumlead")
         self._latency = meter.create_histogram(
             "geraniumlead_request_latency",
@@ -57,11 +57,11 @@
         )
         self._requests = CountedSeries("outcome")
         self._refused = CountedSeries("reason")
-        self._extra = CountedSeries()
+        self._extra_subqueries = CountedSeries()
         for name, series in (
             ("geraniumlead_requests", self._requests),
             ("geraniumlead_refused", self._refused),
-            ("geraniumlead_extra_subqueries", self._extra),
+            ("geraniumlead_extra_subqueries", self._extra_subqueries),
         ):
             meter.create_observable_counter(name, callbacks=[series.observe])
         for name, read in (
@@ -75,7 +75,7 @@
             ("geraniumlead_ready", lambda status: int(status.ready)),
             ("geraniumlead_reachable_peers", lambda status: sum(status.peers.values())),
         ):
-            meter.create_observable_gauge(name, callbacks=[self._observer_of(read)])
+            meter.create_observable_gauge(name, callbacks=[self._build_gauge_callback(read)])
 
     def observe(self, answer: AnswerCaller, now_ms: float) -> None:
         """Record one answer."""
@@ -90,17 +90,19 @@
         self._queue_wait.record(answer.queued_ms, labels)
         self._fan_out.record(answer.subqueries, labels)
         if answer.extra_subqueries:
-            self._extra.add(labels, count=answer.extra_subqueries)
+            self._extra_subqueries.add(labels, count=answer.extra_subqueries)
         if isinstance(answer.outcome, Answered):
             self._coverage.record(answer.outcome.coverage.share, labels)
 
     def _read_status(self) -> InstanceStatus:
         now_ms = self._now_ms()
-        if self._status is None or now_ms - self._status_ms > STATUS_HOLDS_MS:
+        if self._status is None or now_ms - self._status_ms > STATUS_CACHE_MS:
             self._status, self._status_ms = self._instance.status(now_ms), now_ms
         return self._status
 
-    def _observer_of(self, read: Callable) -> Callable[[CallbackOptions], Iterable[Observation]]:
+    def _build_gauge_callback(
+        self, read: Callable
+    ) -> Callable[[CallbackOptions], Iterable[Observation]]:
         def observe(options: CallbackOptions) -> Iterable[Observation]:
             value = read(self._read_status())
             return [] if value is None else [Observation(value)]
@@ -113,7 +115,7 @@
 
 
 def outcome_name(answer: AnswerCaller) -> str:
-    """Return the outcome as callers read it."""
+    """Return the name of the outcome in the callers' interface."""
     match answer.outcome:
         case Answered(coverage=coverage):
             return "whole" if coverage.is_whole else "partial"
--- a/packages/geraniumlead-server/src/geraniumlead_server/upstream_client/__init__.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/upstream_client/__init__.py
@@ -1,4 +1,4 @@
-"""Call upstreams over HTTP."""
+"""The HTTP client of upstreams."""
 
 from geraniumlead_server.upstream_client.client import UpstreamClient
 
--- a/packages/geraniumlead-server/src/geraniumlead_server/upstream_client/client.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/upstream_client/client.py
@@ -1,4 +1,4 @@
-"""Carry out calls to upstreams with aiohttp."""
+"""Call upstreams over HTTP with aiohttp."""
 
 import asyncio
 import math
@@ -16,9 +16,9 @@
 
 
 class UpstreamClient:
-    """Run each call as a task and report its end.
+    """Runs each call as a task and reports its end.
 
-    Every upstream has a session of its own, since its connection limit is its own. No
+    Every upstream has a separate session, since it has a separate connection limit. No
     connection carries two calls at once.
     """
 
@@ -30,24 +30,24 @@
         self._is_closing = False
 
     def call(self, action: CallUpstream) -> None:
-        """Start a call; its end is reported once, unless it is cancelled before."""
+        """Start a call; its end is reported once, unless it is cancelled first."""
         wait_ms = action.timeout_ms
         if action.overdue_ms is not None:
             wait_ms = min(wait_ms, action.overdue_ms)
-        # A timer of the loop costs a tenth of aiohttp's own timeout for each request.
-        timer = self._loop.call_later(wait_ms / 1000.0, self._look_after, action.call_id)
+        # For each request a timer of the loop costs a tenth of aiohttp's own timeout.
+        timer = self._loop.call_later(wait_ms / 1000.0, self._check_call, action.call_id)
         task = self._loop.create_task(self._run(action))
         self._calls[action.call_id] = RunningCall(action, task, self._loop.time(), timer)
 
     def cancel(self, call_id: str) -> None:
-        """End a call without a report; its connection is closed, which tells the upstream."""
+        """End a call without a report; closing its connection informs the upstream."""
         call = self._calls.pop(call_id, None)
         if call is not None:
             call.timer.cancel()
             call.task.cancel()
 
     async def close(self) -> None:
-        """Cancel what runs and close all connections."""
+        """Cancel all calls and close all connections."""
         self._is_closing = True
         for call in self._calls.values():
             call.timer.cancel()
@@ -62,28 +62,28 @@
             call.timer.cancel()
             self._report(UpstreamAnswered(action.call_id, answer))
 
-    def _look_after(self, call_id: str) -> None:
-        """End a call whose time is over, or whose connection has gone silent.
+    def _check_call(self, call_id: str) -> None:
+        """End a call that has timed out, or whose connection has gone silent.
 
-        Failure: something between the two ends forgets a connection. Nothing is reset, calls
-        on it get no answer until their deadline, and the pool hands it out again. When the
-        upstream meanwhile answered on another connection, this one is at fault: the call is
-        ended, which closes the connection, and the upstream is not blamed.
+        Failure: a network device drops its state of a connection. The connection is not reset,
+        calls on it get no answer until their deadline, and the pool reuses it. If the upstream
+        has meanwhile answered on another connection, this connection is at fault: the call is
+        ended, which closes the connection, and it does not count as a failure of the upstream.
         """
         call = self._calls.get(call_id)
         if call is None:
             return
         now_s = self._loop.time()
-        left_s = call.started_s + call.action.timeout_ms / 1000.0 - now_s
+        remaining_s = call.started_s + call.action.timeout_ms / 1000.0 - now_s
         target = self._targets.get(call.action.address)
-        is_silent = target is not None and target.answered_s > call.started_s
-        # The loop may run a timer early by its clock's resolution.
-        if left_s > 0.001 and not is_silent:
-            wait_s = min(left_s, (call.action.overdue_ms or math.inf) / 1000.0)
-            call.timer = self._loop.call_later(wait_s, self._look_after, call_id)
+        is_silent = target is not None and target.last_answer_s > call.started_s
+        # The loop may run a timer too early by its clock's resolution.
+        if remaining_s > 0.001 and not is_silent:
+            wait_s = min(remaining_s, (call.action.overdue_ms or math.inf) / 1000.0)
+            call.timer = self._loop.call_later(wait_s, self._check_call, call_id)
             return
         self.cancel(call_id)
-        is_silent = is_silent and left_s > 0.001
+        is_silent = is_silent and remaining_s > 0.001
         self._report(UpstreamAnswered(call_id, TimedOut(silent_connection=is_silent)))
 
     async def _exchange(self, action: CallUpstream) -> UpstreamAnswer:
@@ -96,23 +96,23 @@
         try:
             async with target.session.post(target.url, data=body, headers=headers) as response:
                 body = await response.read()
-                target.answered_s = self._loop.time()
+                target.last_answer_s = self._loop.time()
                 return read_answer(response.status, body)
         except (ClientConnectorError, ConnectionTimeoutError) as error:
             return NotReached(str(error))
         except (ClientError, OSError) as error:
             return ConnectionLost(type(error).__name__)
 
-    def _take_disconnection(self, lost: UpstreamDisconnected) -> None:
+    def _handle_disconnection(self, event: UpstreamDisconnected) -> None:
         if not self._is_closing:
-            self._report(lost)
+            self._report(event)
 
     def _target_for(self, action: CallUpstream) -> UpstreamTarget:
         target = self._targets.get(action.address)
         if target is None:
-            lost = UpstreamDisconnected(action.subquery.upstream_id)
+            event = UpstreamDisconnected(action.subquery.upstream_id)
             target = UpstreamTarget.from_address(
-                action.address, action.connections, lambda: self._take_disconnection(lost)
+                action.address, action.connections, lambda: self._handle_disconnection(event)
             )
             self._targets[action.address] = target
         return target
--- a/packages/geraniumlead-server/src/geraniumlead_server/upstream_client/watched_connector.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/upstream_client/monitored_connector.py
@@ -1,4 +1,4 @@
-"""Notice that an upstream closes its connections, also when no call is under way."""
+"""Detect that an upstream closes its connections, also while no call is in progress."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,13 +7,13 @@
 from aiohttp.client_proto import ResponseHandler
 
 
-class WatchedHandler(ResponseHandler):
-    """Be a connection that reports its end when the other side caused it."""
+class MonitoredHandler(ResponseHandler):
+    """A connection that reports its end when the upstream caused it."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, owner: "WatchedConnector") -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, owner: "MonitoredConnector") -> None:
         super().__init__(loop)
         self._owner = owner
-        self._is_closed_there = False
+        self._is_closed_by_upstream = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count the connection."""
@@ -21,27 +21,27 @@
         self._owner.open_count += 1
 
     def eof_received(self) -> None:
-        """Note that the other side closed."""
-        self._is_closed_there = True
+        """Record that the upstream closed the connection."""
+        self._is_closed_by_upstream = True
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Report the loss of the last connection, unless this side closed it."""
+        """Report the loss of the last open connection, unless this side closed it."""
         super().connection_lost(exc)
         self._owner.open_count -= 1
-        if self._owner.open_count == 0 and (self._is_closed_there or exc is not None):
+        if self._owner.open_count == 0 and (self._is_closed_by_upstream or exc is not None):
             self._owner.on_disconnect()
 
 
-class WatchedConnector(TCPConnector):
-    """Pool connections as usual, and call ``on_disconnect`` when the last one was closed there.
+class MonitoredConnector(TCPConnector):
+    """A connection pool that calls ``on_disconnect`` when the upstream closes the last one.
 
-    A restart closes idle connections, and this may be its only sign before the next call.
+    A restart closes idle connections, which may be its only sign before the next call.
     aiohttp has no public hook for the end of an idle connection, so its protocol factory is
-    replaced; a test fails when a new version no longer uses it.
+    replaced; a test fails if a new version no longer uses it.
     """
 
     def __init__(self, on_disconnect: Callable[[], None], **options) -> None:
         super().__init__(**options)
         self.on_disconnect = on_disconnect
         self.open_count = 0
-        self._factory = lambda: WatchedHandler(self._loop, self)
+        self._factory = lambda: MonitoredHandler(self._loop, self)
--- a/packages/geraniumlead-server/src/geraniumlead_server/upstream_client/running_call.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/upstream_client/running_call.py
@@ -1,5 +1,3 @@
-"""Define a call that is under way."""
-
 import asyncio
 from dataclasses import dataclass
 
@@ -8,7 +6,7 @@
 
 @dataclass(slots=True)
 class RunningCall:
-    """Hold the task of a call, the timer that looks after it, and when it began."""
+    """A call in progress: its task, the timer that checks it, and its start time."""
 
     action: CallUpstream
     task: asyncio.Task
--- a/packages/geraniumlead-server/src/geraniumlead_server/upstream_client/target.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/upstream_client/target.py
@@ -1,39 +1,37 @@
-"""Keep the connections to one upstream."""
-
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from aiohttp import ClientSession, ClientTimeout, DummyCookieJar
 from yarl import URL
 
-from geraniumlead_server.upstream_client.watched_connector import WatchedConnector
+from geraniumlead_server.upstream_client.monitored_connector import MonitoredConnector
 
-PATH = "/v1/subqueries"
-IDLE_S = 60.0
+SUBQUERIES_PATH = "/v1/subqueries"
+IDLE_TIMEOUT_S = 60.0
 CONNECT_TIMEOUT_S = 2.0
 HEADERS = {"Content-Type": "application/json", "User-Agent": "geraniumleadd"}
 
 
 @dataclass(slots=True)
 class UpstreamTarget:
-    """Hold the parsed URL and the session of one upstream.
+    """The URL of one upstream and the session with its connections.
 
-    Each upstream has a session of its own, since its connection limit is its own. The
-    caller ends overdue calls, so the session has no total timeout. ``answered_s`` is the time
-    of the latest answer on any connection.
+    Each upstream has a separate session, since it has a separate connection limit. The
+    client ends overdue calls, so the session has no total timeout. ``last_answer_s`` is the
+    time of the latest answer on any connection.
     """
 
     url: URL
     session: ClientSession
-    answered_s: float = float("-inf")
+    last_answer_s: float = float("-inf")
 
     @classmethod
     def from_address(
         cls, address: str, connections: int, on_disconnect: Callable[[], None]
     ) -> "UpstreamTarget":
-        """Open no connection yet; at most ``connections`` will be open at once."""
-        connector = WatchedConnector(
-            on_disconnect, limit=connections, keepalive_timeout=IDLE_S, use_dns_cache=False
+        """Build a target without open connections; at most ``connections`` are opened at once."""
+        connector = MonitoredConnector(
+            on_disconnect, limit=connections, keepalive_timeout=IDLE_TIMEOUT_S, use_dns_cache=False
         )
         session = ClientSession(
             connector=connector,
@@ -43,4 +41,4 @@
             skip_auto_headers=("Accept-Encoding",),
             timeout=ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
         )
-        return cls(URL(f"http://{address}{PATH}"), session)
+        return cls(URL(f"http://{address}{SUBQUERIES_PATH}"), session)
--- a/packages/geraniumlead-server/src/geraniumlead_server/upstream_client/wire.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/upstream_client/wire.py
@@ -1,4 +1,4 @@
-"""Translate subqueries and answers to and from the upstreams' JSON."""
+"""Encode subqueries and decode answers in the upstreams' JSON."""
 
 from msgspec import DecodeError, Raw, Struct, ValidationError
 from msgspec.json import Decoder, Encoder
@@ -21,7 +21,7 @@
 
 
 class SubqueryBody(Struct):
-    """Be the body of POST /v1/subqueries."""
+    """The body of POST /v1/subqueries."""
 
     call_id: str
     request_id: str
@@ -32,7 +32,7 @@
 
 
 class RecordsBody(Struct):
-    """Be the body of an answer with records."""
+    """The body of an answer with records."""
 
     index_version: int
     shard: int
@@ -41,7 +41,7 @@
 
 
 class RefusalBody(Struct):
-    """Be the body of an answer without records."""
+    """The body of an answer without records."""
 
     error: str
     retry_after_ms: float = DEFAULT_RETRY_AFTER_MS
@@ -68,7 +68,7 @@
 
 
 def read_answer(status: int, body: bytes) -> UpstreamAnswer:
-    """Return what an upstream's HTTP answer means."""
+    """Return the decoded answer of an upstream's HTTP response."""
     try:
         if status == STATUS_OK:
             found = _RECORDS.decode(body)
--- a/packages/geraniumlead-server/src/geraniumlead_server/web_server.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/web_server.py
@@ -1,4 +1,4 @@
-"""Run ASGI applications under uvicorn on the daemon's own loop."""
+"""Run ASGI applications under uvicorn on the daemon's event loop."""
 
 import asyncio
 from socket import socket
@@ -7,23 +7,23 @@
 
 from geraniumlead_server.bounded_protocol import BoundedProtocol
 
-GRACEFUL_SECONDS = 2
+GRACEFUL_SHUTDOWN_S = 2
 
 
 class WebServer(Server):
-    """Serve one application; the daemon itself handles signals."""
+    """A uvicorn server of one application that leaves signals to the daemon."""
 
     @classmethod
     def from_address(
         cls,
         app,
         address: str,
-        most_connections: int,
+        max_connections: int,
         protocol: type[BoundedProtocol] = BoundedProtocol,
     ) -> "WebServer":
         """Build a server for an application and an ``IP:port`` address.
 
-        Above ``most_connections`` a request is answered 503 without reaching the application.
+        Above ``max_connections`` uvicorn answers 503 and does not call the application.
         """
         host, _, port = address.rpartition(":")
         config = Config(
@@ -36,23 +36,23 @@
             timeout_keep_alive=75,
             date_header=False,
             server_header=False,
-            timeout_graceful_shutdown=GRACEFUL_SECONDS,
+            timeout_graceful_shutdown=GRACEFUL_SHUTDOWN_S,
             http=protocol,
             ws="none",
-            limit_concurrency=most_connections,
+            limit_concurrency=max_connections,
         )
         return cls(config)
 
     def start(self, sockets: list[socket] | None = None) -> asyncio.Task:
-        """Serve in a task of the running loop, on sockets that listen already if given."""
+        """Serve in a task of the running loop, on ``sockets`` if given; these must be listening."""
         return asyncio.get_running_loop().create_task(self.serve(sockets))
 
     def capture_signals(self):
-        """Leave the signals to the daemon, whose graceful stop takes longer."""
-        return _NoSignals()
+        """Install no signal handlers: the daemon's graceful stop takes longer than uvicorn's."""
+        return _NullContext()
 
 
-class _NoSignals:
+class _NullContext:
     def __enter__(self) -> None:
         return None
 
--- a/packages/geraniumlead-server/tests/server_tests/builders.py
+++ b/packages/geraniumlead-server/tests/server_tests/builders.py
@@ -30,7 +30,7 @@
 
 CREDENTIAL = "secret-of-acme"
 SHARDS = 3
-LONG_MS = 60_000.0
+CONFIGURED_AGE_MS = 60_000.0
 
 
 def build_settings(**changes) -> InstanceSettings:
@@ -43,13 +43,13 @@
         ),
         "platform_addresses": ["127.0.0.1:4"],
         "limits": LimitSettings(body_bytes=2048),
-        "timing": TimingSettings(pause_gap_ms=2 * LONG_MS),
+        "timing": TimingSettings(pause_gap_ms=2 * CONFIGURED_AGE_MS),
     }
     return InstanceSettings(**(values | changes))
 
 
 def build_contract() -> ContractDocument:
-    """Return a contract with lookups and bookings."""
+    """Return a contract with the classes lookup and booking."""
     return ContractDocument(
         customer="acme",
         credentials_sha256=[sha256(CREDENTIAL.encode()).hexdigest()],
@@ -66,7 +66,7 @@
 
 
 def build_documents() -> tuple[VersionedValue, ...]:
-    """Return every document of the one data centre."""
+    """Return every document of the only data centre."""
     upstreams = [
         UpstreamEntry(
             upstream_id=f"ledger-{number}",
@@ -99,12 +99,12 @@
 
 def build_driver(**changes) -> InstanceDriver:
     """Return a driver of a configured instance; needs a running loop."""
-    # The documents came long ago, so that the cold start of the upstreams may begin.
-    long_ago_ms = asyncio.get_running_loop().time() * 1000.0 - LONG_MS
-    instance = Instance(build_settings(**changes), Random(1), long_ago_ms)
-    instance.start(long_ago_ms)
+    # The documents arrived long ago, so that the cold start of the upstreams may begin.
+    configured_ms = asyncio.get_running_loop().time() * 1000.0 - CONFIGURED_AGE_MS
+    instance = Instance(build_settings(**changes), Random(1), configured_ms)
+    instance.start(configured_ms)
     received = DocumentsReceived(7, build_documents(), is_snapshot=True)
-    instance.handle(received, long_ago_ms)
+    instance.handle(received, configured_ms)
 
     def carry_out(action: Action) -> None:
         if isinstance(action, CallUpstream):
@@ -119,7 +119,7 @@
 
 
 def build_answer(**changes) -> AnswerCaller:
-    """Return a whole answer."""
+    """Return the action that gives a caller a whole answer."""
     values = {
         "request_id": "abc",
         "customer": "acme",
--- a/packages/geraniumlead-server/tests/server_tests/callers/test_json_depth.py
+++ b/packages/geraniumlead-server/tests/server_tests/callers/test_json_depth.py
@@ -1,4 +1,4 @@
-"""Test the bound on nesting."""
+"""Test the limit on nesting."""
 
 from unittest import TestCase
 
@@ -11,9 +11,9 @@
         self.assertTrue(is_deeper_than(b"[[[[]]]]", 3))
         self.assertFalse(is_deeper_than(b"[[[]]]", 3))
 
-    def test_leaves_brackets_in_strings_out(self):
+    def test_ignores_brackets_in_strings(self):
         self.assertFalse(is_deeper_than(b'["[[[[", "\\"[[["]', 2))
 
-    def test_bears_malformed_text(self):
+    def test_handles_malformed_text(self):
         self.assertTrue(is_deeper_than(b'"' + b"[" * 50, 3))
         self.assertFalse(is_deeper_than(b"]" * 50 + b"[" * 4, 4))
--- a/packages/geraniumlead-server/tests/server_tests/callers/test_queries.py
+++ b/packages/geraniumlead-server/tests/server_tests/callers/test_queries.py
@@ -1,4 +1,4 @@
-"""Test the callers' interface against malformed, oversized and foreign input."""
+"""Test the callers' interface with valid, malformed, oversized and unauthorized input."""
 
 from unittest import IsolatedAsyncioTestCase
 
@@ -18,7 +18,7 @@
         async with ASGIConductor(app) as conductor:
             return await conductor.simulate_post(path, body=body, headers=headers)
 
-    async def test_gives_a_whole_answer(self):
+    async def test_returns_a_whole_answer(self):
         result = await self.post()
         self.assertEqual(result.status_code, 200, result.text)
         self.assertEqual(result.json["outcome"], "whole")
--- a/packages/geraniumlead-server/tests/server_tests/logs/test_queued_output.py
+++ b/packages/geraniumlead-server/tests/server_tests/logs/test_queued_output.py
@@ -1,4 +1,4 @@
-"""Test that a log that nobody reads never stops the process."""
+"""Test that the process does not block on a log that nobody reads."""
 
 import logging
 import os
@@ -32,10 +32,10 @@
             except BlockingIOError:
                 return data
 
-    def test_a_full_pipe_costs_no_time_and_loses_counted_lines(self):
-        """Whoever reads the log stops reading, and the pipe fills.
+    def test_a_full_pipe_does_not_block_and_dropped_lines_are_counted(self):
+        """The reader of the log stops, and the pipe fills up.
 
-        A blocking write would stop the loop, and every caller would wait for the log.
+        A blocking write would block the event loop, and every caller would wait for the log.
         """
         longest_s = 0.0
         for _ in range(3_000):
@@ -59,7 +59,7 @@
 
 class DecisionLogTests(TestCase):
     def setUp(self):
-        # The runner of the whole suite turns logging off; here the lines are the subject.
+        # The runner of the whole suite disables logging; these tests check log lines.
         before = logging.root.manager.disable
         logging.disable(logging.NOTSET)
         self.addCleanup(logging.disable, before)
--- a/packages/geraniumlead-server/tests/server_tests/logs/test_request_log.py
+++ b/packages/geraniumlead-server/tests/server_tests/logs/test_request_log.py
@@ -1,4 +1,4 @@
-"""Test that the request log stays within its budget."""
+"""Test the rate limit of the request log."""
 
 import logging
 from unittest import TestCase
@@ -10,16 +10,16 @@
 
 class RequestLogTests(TestCase):
     def setUp(self):
-        # The runner silences logging below errors; this test is about these lines.
+        # The runner disables logging below errors; these tests check log lines.
         previous = logging.root.manager.disable
         logging.disable(logging.NOTSET)
         self.addCleanup(logging.disable, previous)
 
-    def test_a_burst_costs_a_bounded_number_of_lines(self):
+    def test_a_burst_writes_a_bounded_number_of_lines(self):
         """A burst of 10,000 refusals arrives within a millisecond.
 
-        The first lines are written, the others counted; the next line, a second later, says
-        how many were left out.
+        The first lines are written and the others counted; the next line, a second later,
+        has the number of skipped lines.
         """
         log = RequestLog(lines_per_s=5)
         refused = build_answer(outcome=NotRun(RefusalReason.RATE, 100.0))
--- a/packages/geraniumlead-server/tests/server_tests/operators/test_app.py
+++ b/packages/geraniumlead-server/tests/server_tests/operators/test_app.py
@@ -16,12 +16,12 @@
     async def asyncSetUp(self):
         self.driver = build_driver()
         self.recent = RecentRequests()
-        self.page = MetricsPage()
-        self.addCleanup(self.page.close)
-        metrics = RequestMetrics(self.driver.instance, self.page.reader, self.driver.now_ms)
-        self.driver.arrival_observers.append(self.recent.open)
+        self.metrics_page = MetricsPage()
+        self.addCleanup(self.metrics_page.close)
+        metrics = RequestMetrics(self.driver.instance, self.metrics_page.reader, self.driver.now_ms)
+        self.driver.arrival_observers.append(self.recent.record_arrival)
         self.driver.observers += [self.recent.observe, metrics.observe]
-        self.app = build_operators_app(self.driver, self.recent, self.page)
+        self.app = build_operators_app(self.driver, self.recent, self.metrics_page)
 
     async def get(self, path):
         async with ASGIConductor(self.app) as conductor:
@@ -30,7 +30,7 @@
     async def ask(self, request_id):
         now_ms = self.driver.now_ms()
         request = CallerRequest(request_id, "acme", "lookup", b"1", now_ms, now_ms + 500, 1.0)
-        await self.driver.ask(QueryArrived(request))
+        await self.driver.run_query(QueryArrived(request))
 
     async def test_shows_the_revision_in_force(self):
         result = await self.get("/v1/status")
--- /dev/null
+++ b/packages/geraniumlead-server/tests/server_tests/peer_transport/test_dealer_pool.py
@@ -0,0 +1,22 @@
+"""Test which connections are kept open."""
+
+from unittest import TestCase
+from unittest.mock import Mock
+
+from geraniumlead.actions import SendToPeer
+from geraniumlead.peers import Goodbye
+from geraniumlead_server.peer_transport.dealer_pool import IDLE_TIMEOUT_S, DealerPool
+
+
+class DealerPoolTests(TestCase):
+    def test_an_idle_connection_is_closed(self):
+        opened = []
+        pool = DealerPool(lambda action: opened.append(Mock()) or opened[-1])
+        left = SendToPeer("noord-1", "127.0.0.1:1", Goodbye(""), "")
+        stayed = SendToPeer("noord-2", "127.0.0.1:2", Goodbye(""), "")
+        pool.socket_for(left, 0.0)
+        pool.socket_for(stayed, IDLE_TIMEOUT_S)
+        pool.socket_for(stayed, IDLE_TIMEOUT_S + 11.0)
+        opened[0].close.assert_called_once()
+        opened[1].close.assert_not_called()
+        self.assertEqual(1, len(pool))
--- a/packages/geraniumlead-server/tests/server_tests/peer_transport/test_transport.py
+++ b/packages/geraniumlead-server/tests/server_tests/peer_transport/test_transport.py
@@ -1,4 +1,4 @@
-"""Test who may send to an instance, over loopback ports."""
+"""Test the authentication of peers and the delivery of messages over loopback ports."""
 
 import asyncio
 from unittest import IsolatedAsyncioTestCase
@@ -15,12 +15,12 @@
 from geraniumlead_server.peer_transport.published_keys import PublishedKeys
 from server_tests.ports import find_free_port
 
-LONGEST_WAIT_S = 5.0
-QUIET_S = 0.5
+MAX_WAIT_S = 5.0
+SETTLE_S = 0.5
 
 
 class Node:
-    """Be one end: a transport, its key pair and what it received."""
+    """One end of a connection: a transport, its key pair and the messages it received."""
 
     def __init__(self, name: str, network: "Network", with_keys: bool) -> None:
         public, secret = zmq.curve_keypair() if with_keys else (b"", b"")
@@ -40,7 +40,7 @@
         )
         self.transport = PeerTransport(
             settings,
-            self._take,
+            self._receive,
             PublishedKeys(lambda: network.view),
             PeerCodec(encode_message, decode_message),
         )
@@ -49,12 +49,12 @@
     def send(self, other: "Node", text: str) -> None:
         self.transport.send(SendToPeer(other.name, other.address, Goodbye(text), other.public_key))
 
-    def _take(self, sender_id: str, message: Goodbye) -> None:
+    def _receive(self, sender_id: str, message: Goodbye) -> None:
         self.received.append((sender_id, message.incarnation))
 
 
 class Network:
-    """Hold the published list that all nodes see."""
+    """The published list of instances, shared by all nodes."""
 
     def __init__(self) -> None:
         self.view = ClusterView()
@@ -86,11 +86,11 @@
         return node
 
     async def wait_for(self, condition):
-        async with asyncio.timeout(LONGEST_WAIT_S):
+        async with asyncio.timeout(MAX_WAIT_S):
             while not condition():
                 await asyncio.sleep(0.01)
 
-    async def test_a_listed_peer_is_heard_under_the_name_of_its_key(self):
+    async def test_the_sender_of_a_message_is_the_owner_of_the_key(self):
         one, other = self.add("noord-0"), self.add("noord-1")
         self.network.publish(one, other)
         one.send(other, "hello")
@@ -98,9 +98,10 @@
         self.assertEqual([("noord-0", "hello")], other.received)
 
     async def test_a_peer_cannot_take_the_name_of_another(self):
-        """A process with a listed key of its own settings claims another instance's name.
+        """A process with a listed key in its own settings claims another instance's name.
 
-        By name alone it could answer that instance's subqueries, or say goodbye for it.
+        If the name alone counted, it could answer that instance's subqueries, or send a
+        goodbye in its name.
         """
         one, other = self.add("noord-0"), self.add("noord-1")
         impostor = self.add("noord-0")
@@ -110,28 +111,28 @@
         await self.wait_for(lambda: other.received)
         self.assertEqual("noord-2", other.received[0][0])
 
-    async def test_an_unknown_key_is_refused_and_heard_once_it_is_listed(self):
-        """A new instance writes to a peer whose list does not name it yet.
+    async def test_an_unknown_key_is_refused_until_it_is_listed(self):
+        """A new instance sends to a peer whose list does not have it yet.
 
-        ZeroMQ gives a refused connection up for good. Without opening another the peer
-        would never hear the new instance, though its list names it a moment later.
+        ZeroMQ never reconnects a refused connection. Unless another one is opened, the peer
+        would never receive from the new instance, although its list has it a moment later.
         """
         one, other = self.add("noord-0"), self.add("noord-1")
         self.network.publish(other)
         one.send(other, "too early")
-        await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(SETTLE_S)
         self.assertEqual([], other.received)
         self.network.publish(one, other)
         await self.wait_for(lambda: one.send(other, "now") or other.received)
 
-    async def test_a_peer_that_left_the_list_is_heard_no_more(self):
+    async def test_messages_of_a_peer_that_left_the_list_are_discarded(self):
         one, other = self.add("noord-0"), self.add("noord-1")
         self.network.publish(one, other)
         one.send(other, "hello")
         await self.wait_for(lambda: other.received)
         self.network.publish(other)
         one.send(other, "again")
-        await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(SETTLE_S)
         self.assertEqual(1, len(other.received))
 
     async def test_a_peer_with_a_new_key_gets_a_new_connection(self):
@@ -145,18 +146,19 @@
         await self.wait_for(lambda: new.received)
         self.assertEqual(1, len(one.transport._dealers))
 
-    async def test_every_message_of_a_burst_is_taken(self):
+    async def test_every_message_of_a_burst_is_received(self):
         one, other = self.add("noord-0", False), self.add("noord-1", False)
         for number in range(900):
             one.send(other, str(number))
         await self.wait_for(lambda: len(other.received) == 900)
         self.assertEqual(("noord-0", "899"), other.received[-1])
 
-    async def test_connections_to_a_seed_and_to_its_name_do_not_take_turns(self):
-        """A hello goes to a seed's address before its name is known, and later to the name.
+    async def test_connections_to_a_seed_and_to_its_instance_use_different_identities(self):
+        """A hello is sent to a seed's address before its name is known, later to the name.
 
-        Both connections reach the same instance. Under one identity each would take it from
-        the other, and whatever came on the loser was dropped: one direction stayed dead.
+        Both connections lead to the same instance. With the same identity each would take it
+        over from the other, and messages on the other connection would be dropped, so that one
+        direction would never work.
         """
         one = self.add("noord-0", with_keys=False)
         other = self.add("noord-1", with_keys=False)
--- a/packages/geraniumlead-server/tests/server_tests/platform_client/test_client.py
+++ b/packages/geraniumlead-server/tests/server_tests/platform_client/test_client.py
@@ -1,4 +1,4 @@
-"""Test the client against the platform's stand-in on a loopback port."""
+"""Test the client with a stand-in of the platform on a loopback port."""
 
 import asyncio
 from random import Random
@@ -15,7 +15,7 @@
 from server_tests.ports import find_free_port
 
 KEY = "geraniumlead/contracts/acme"
-LONGEST_WAIT_S = 5.0
+MAX_WAIT_S = 5.0
 
 
 class PlatformClientTests(IsolatedAsyncioTestCase):
@@ -30,7 +30,7 @@
         self.address = f"127.0.0.1:{port}"
         self.events: list[DocumentsReceived | PlatformSilent] = []
         self.client = PlatformClient([self.address], self.events.append, Random(1))
-        self.enterContext(patch.object(client, "CHECK_INTERVAL_S", 0.05))
+        self.enterContext(patch.object(client, "WATCH_CHECK_INTERVAL_S", 0.05))
 
     async def asyncTearDown(self):
         await self.client.close()
@@ -38,7 +38,7 @@
         await self.runner.cleanup()
 
     async def wait_for(self, condition):
-        async with asyncio.timeout(LONGEST_WAIT_S):
+        async with asyncio.timeout(MAX_WAIT_S):
             while not condition():
                 await asyncio.sleep(0.01)
 
@@ -77,10 +77,10 @@
         await self.wait_for(lambda: larger in self.values())
 
     async def test_a_watch_that_went_silent_is_replaced(self):
-        """The connection of the watch stays open and says nothing, for good.
+        """The connection of the watch stays open and never delivers anything again.
 
-        Without the check the change would never come: the watch looks like one that has no
-        news. A small read shows that the platform holds more than the watch told.
+        Without the check the change would never arrive: the watch looks like one without
+        changes. A small read shows that the platform holds more than the watch delivered.
         """
         self.client.watch(1)
         await self.wait_for(lambda: self.events)
@@ -97,13 +97,15 @@
         await self.publish(b"restored")
         await self.wait_for(lambda: b"restored" in self.values())
 
-    async def test_goes_on_with_the_next_address(self):
-        nobody = f"127.0.0.1:{find_free_port()}"
-        self.client = PlatformClient([nobody, self.address, nobody], self.events.append, Random(1))
+    async def test_tries_the_next_address(self):
+        unused_address = f"127.0.0.1:{find_free_port()}"
+        self.client = PlatformClient(
+            [unused_address, self.address, unused_address], self.events.append, Random(1)
+        )
         self.client.read_once(3)
         await self.wait_for(lambda: self.values())
 
-    async def test_over_budget_is_told_and_tried_again(self):
+    async def test_an_exceeded_budget_is_reported_and_the_read_is_retried(self):
         self.platform.faults = PlatformFaults(over_budget=True)
         self.client.watch(1)
         await self.wait_for(lambda: self.events)
@@ -111,7 +113,7 @@
         self.platform.faults = PlatformFaults()
         await self.wait_for(lambda: self.values())
 
-    async def test_a_lagging_list_shows_the_old_one(self):
+    async def test_a_lagging_list_returns_the_old_value(self):
         key = "geraniumlead/instances/noord"
         self.store.put(key, b"old")
         self.platform.faults = PlatformFaults(lists_lag=True)
--- a/packages/geraniumlead-server/tests/server_tests/ports.py
+++ b/packages/geraniumlead-server/tests/server_tests/ports.py
@@ -1,10 +1,10 @@
-"""Find free loopback ports, so that test runs beside one another don't collide."""
+"""Find free loopback ports, so that concurrent test runs do not collide."""
 
 import socket
 
 
 def find_free_port() -> int:
-    """Return a port that nobody listened on a moment ago."""
+    """Return a port that was free when it was checked."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
--- a/packages/geraniumlead-server/tests/server_tests/test_web_server.py
+++ b/packages/geraniumlead-server/tests/server_tests/test_web_server.py
@@ -1,4 +1,4 @@
-"""Test the bounds on time and bytes over a real socket."""
+"""Test the limits on time and bytes over a real socket."""
 
 import asyncio
 from unittest import IsolatedAsyncioTestCase
@@ -39,7 +39,7 @@
             self.writer.write(bytes([byte]))
             await asyncio.sleep(0.01)
 
-    async def test_answers_a_request_that_comes_in_pieces(self):
+    async def test_answers_a_request_sent_in_pieces(self):
         body = b'{"class":"lookup","query":1}'.ljust(100)
         self.writer.write(HEAD[:50])
         await asyncio.sleep(0.02)
@@ -49,11 +49,11 @@
     async def test_closes_a_connection_with_trickling_headers(self):
         """A caller sends one header byte now and then, over very many connections.
 
-        Each holds a file descriptor; without a bound on the whole message the instance runs
-        out of them and answers nobody. The caller gets 408 and the connection ends.
+        Each uses a file descriptor. Without a time limit on the whole message the instance
+        runs out of them and answers nobody. The caller gets 408 and the connection is closed.
         """
         with patch("geraniumlead_server.bounded_protocol.MESSAGE_TIMEOUT_S", 0.2):
-            # The clock of the open connection runs with the true bound; a message restarts it.
+            # The timer of the open connection has the unpatched limit; a message restarts it.
             self.writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
             await self.reader.readuntil(b"}")
             trickling = asyncio.create_task(self.trickle(HEAD))
@@ -79,18 +79,18 @@
         self.writer.write(head + b"\r\n{")
         self.assertIn(b"413", await self.read_to_end())
 
-    async def test_answers_408_to_a_body_that_never_comes(self):
+    async def test_answers_408_when_the_body_is_never_sent(self):
         with patch("geraniumlead_server.bounded_protocol.MESSAGE_TIMEOUT_S", 0.2):
             self.writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
             await self.reader.readuntil(b"}")
             self.writer.write(HEAD + b"\r\n")
             self.assertIn(b"408", await self.read_to_end())
 
-    async def test_answers_400_to_what_is_no_http(self):
+    async def test_answers_400_to_data_that_is_not_http(self):
         self.writer.write(b"\x16\x03\x01nonsense\r\n\r\n")
         self.assertIn(b"400", await self.read_to_end())
 
-    async def test_bears_a_body_that_is_cut_off(self):
+    async def test_handles_a_truncated_body(self):
         self.writer.write(HEAD + b"\r\n{")
         await self.writer.drain()
         self.writer.close()
--- a/packages/geraniumlead-server/tests/server_tests/upstream_client/test_client.py
+++ b/packages/geraniumlead-server/tests/server_tests/upstream_client/test_client.py
@@ -11,7 +11,7 @@
 from geraniumlead_server.upstream_client import UpstreamClient
 from server_tests.ports import find_free_port
 
-LONGEST_WAIT_S = 5.0
+MAX_WAIT_S = 5.0
 
 
 def build_action(call_id: str, address: str, query: bytes = b"{}", **changes) -> CallUpstream:
@@ -22,7 +22,7 @@
 
 async def answer(request: web.Request) -> web.Response:
     if b"silent" in await request.read():
-        await asyncio.sleep(LONGEST_WAIT_S)
+        await asyncio.sleep(MAX_WAIT_S)
     return web.json_response({"index_version": 1, "shard": 0, "records": []})
 
 
@@ -42,14 +42,15 @@
         await self.runner.cleanup()
 
     async def wait_for_events(self, count: int) -> None:
-        async with asyncio.timeout(LONGEST_WAIT_S):
+        async with asyncio.timeout(MAX_WAIT_S):
             while len(self.events) < count:
                 await asyncio.sleep(0.005)
 
     async def test_overdue_call_ends_when_other_connections_answer(self):
-        """One connection has gone silent, the upstream answers on another.
+        """One connection has gone silent while the upstream answers on another.
 
-        Its caller would wait for the whole deadline, and the next caller after it.
+        Without the check its caller would wait until the deadline, and so would the next
+        caller that gets the connection.
         """
         self.client.call(build_action("c1", self.address, b'"silent"'))
         await asyncio.sleep(0.01)
@@ -64,9 +65,10 @@
         self.assertEqual([UpstreamAnswered("c1", TimedOut())], self.events)
 
     async def test_upstream_that_closes_an_idle_connection_is_reported(self):
-        """An upstream restarts while it has nothing to do.
+        """An upstream restarts while it is idle.
 
-        Without the report the next calls of all owners reach it cold at the same time.
+        Without the report the next calls of all owners would reach it at the same time while
+        it is cold.
         """
         self.client.call(build_action("c1", self.address))
         await self.wait_for_events(1)
