--- a/packages/geraniumlead-server/tests/server_tests/forwarding/test_large_fleet_reading.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/test_large_fleet_reading.py
@@ -4,7 +4,7 @@
 from unittest import TestCase
 
 from geraniumlead.peering import UPDATE_TIMEOUT_JITTER, StoreReadTiming
-from geraniumlead_standins.forwarding import StoreDoor
+from geraniumlead_standins.forwarding import StoreAccess
 from server_tests.forwarding.reading_fleet import (
     MarkedStore,
     ReadingFleet,
@@ -36,20 +36,20 @@
     def test_who_was_turned_away_meanwhile_knows_all_within_the_bound_of_its_return(self):
         """Guards against old routes, regions and leaving upstreams for seconds after the return."""
         for seed in SEEDS:
-            for door in (StoreDoor.REFUSING, StoreDoor.SILENT):
+            for door in (StoreAccess.REFUSING, StoreAccess.SILENT):
                 with self.subTest(seed=seed, door=door):
                     run_in_virtual_time(self._return_beside_starts(seed, door))
 
-    async def _return_beside_starts(self, seed: int, door: StoreDoor) -> None:
+    async def _return_beside_starts(self, seed: int, door: StoreAccess) -> None:
         store = MarkedStore(FIRST_UPSTREAMS)
         store.start_marking()
         instance = ReadingInstance(store, BOUND_MS, seed)
         task = asyncio.create_task(instance.follower.run())
         await asyncio.sleep(START_S)
-        instance.client.door = door
+        instance.client.access = door
         store.start_upstreams(NEXT_UPSTREAMS)
         await asyncio.sleep(AWAY_S)
-        instance.client.door = StoreDoor.OPEN
+        instance.client.access = StoreAccess.OPEN
         await asyncio.sleep(BOUND_S)
         oldest_s = await oldest_age_s([instance], 5.0)
         task.cancel()
@@ -133,10 +133,10 @@
 
     async def _turn_watchers_away(self, fleet: ReadingFleet) -> None:
         for watcher in fleet.members[:2]:
-            watcher.client.door = StoreDoor.REFUSING
+            watcher.client.access = StoreAccess.REFUSING
         self.assertLess(await oldest_age_s(fleet.members, 12.0), BOUND_S)
         for watcher in fleet.members[:2]:
-            watcher.client.door = StoreDoor.OPEN
+            watcher.client.access = StoreAccess.OPEN
         self.assertLess(await oldest_age_s(fleet.members, 6.0), BOUND_S)
 
     def test_who_is_turned_away_and_misses_a_message_asks_a_peer(self):
@@ -145,7 +145,7 @@
 
     async def _lose_one_message(self, fleet: ReadingFleet) -> None:
         away = fleet.members[5]
-        away.client.door = StoreDoor.SILENT
+        away.client.access = StoreAccess.SILENT
         fleet.lost = {(sender, 5) for sender in range(INSTANCES)}
         await asyncio.sleep(3.0)
         fleet.lost = set()
@@ -158,7 +158,7 @@
 
     async def _publish_too_much_to_tell(self, fleet: ReadingFleet) -> None:
         away = fleet.members[5]
-        away.client.door = StoreDoor.REFUSING
+        away.client.access = StoreAccess.REFUSING
         await asyncio.sleep(BOUND_S)
         fleet.store.put_configuration(version=7, route_count=4_000)
         await asyncio.sleep(BOUND_S)
@@ -181,17 +181,17 @@
 
     def test_who_starts_turned_away_takes_the_state_from_a_peer(self):
         """Guards against refusals for as long as the store turns one away that its peers read."""
-        for door in (StoreDoor.REFUSING, StoreDoor.SILENT):
+        for door in (StoreAccess.REFUSING, StoreAccess.SILENT):
             for seed in SEEDS:
                 with self.subTest(door=door, seed=seed):
                     run_in_virtual_time(self._start_turned_away(seed, door))
 
-    async def _start_turned_away(self, seed: int, door: StoreDoor) -> None:
+    async def _start_turned_away(self, seed: int, door: StoreAccess) -> None:
         store = MarkedStore(FIRST_UPSTREAMS)
         store.start_marking()
         fleet = ReadingFleet(store, BOUND_MS, INSTANCES, seed)
         starting = fleet.members[5]
-        starting.client.door = door
+        starting.client.access = door
         fleet.start()
         await asyncio.sleep(START_S)
         self.assertEqual(FIRST_UPSTREAMS + 1, len(starting.known))
@@ -230,12 +230,12 @@
     def test_who_is_turned_away_asks_its_peers(self):
         """Guards against an instance that knows no new upstream while its peers know them all."""
         for bound_ms in (3_000.0, 4_000.0):
-            for door in (StoreDoor.REFUSING, StoreDoor.SILENT):
+            for door in (StoreAccess.REFUSING, StoreAccess.SILENT):
                 for seed in SEEDS:
                     with self.subTest(bound_ms=bound_ms, door=door, seed=seed):
                         run_in_virtual_time(self._turn_one_away(bound_ms, door, seed))
 
-    async def _turn_one_away(self, bound_ms: float, door: StoreDoor, seed: int) -> None:
+    async def _turn_one_away(self, bound_ms: float, door: StoreAccess, seed: int) -> None:
         store = MarkedStore(upstream_count=150)
         store.start_marking()
         fleet = ReadingFleet(store, bound_ms, count=3, seed=seed)
@@ -243,7 +243,7 @@
         fleet.has_readers = False
         fleet.start()
         await asyncio.sleep(START_S)
-        fleet.members[2].client.door = door
+        fleet.members[2].client.access = door
         self.assertLess(await oldest_age_s(fleet.members, 12.0), bound_ms / 1000.0)
         fleet.stop()
 
@@ -254,21 +254,21 @@
     def test_what_stands_in_the_store_is_known_within_the_bound_of_its_return(self):
         """Guards against an instance that still waits for a lost answer, or pauses for too long."""
         for bound_ms in (2_000.0, 3_000.0, 4_000.0, 5_000.0):
-            for door in (StoreDoor.REFUSING, StoreDoor.SILENT):
+            for door in (StoreAccess.REFUSING, StoreAccess.SILENT):
                 for half_seconds in range(1, 26):
                     away_s = half_seconds / 2.0
                     with self.subTest(bound_ms=bound_ms, door=door, away_s=away_s):
                         run_in_virtual_time(self._return_after(bound_ms, door, away_s))
 
-    async def _return_after(self, bound_ms: float, door: StoreDoor, away_s: float) -> None:
+    async def _return_after(self, bound_ms: float, door: StoreAccess, away_s: float) -> None:
         store = MarkedStore(upstream_count=20)
         store.start_marking()
         instance = ReadingInstance(store, bound_ms, seed=int(away_s * 2.0))
         task = asyncio.create_task(instance.follower.run())
         await asyncio.sleep(6.0 + away_s * 0.13)
-        instance.client.door = door
+        instance.client.access = door
         await asyncio.sleep(away_s)
-        instance.client.door = StoreDoor.OPEN
+        instance.client.access = StoreAccess.OPEN
         await asyncio.sleep(bound_ms / 1000.0)
         task.cancel()
         self.assertLess(instance.age_s, bound_ms / 1000.0)
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/test_store_follower.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/test_store_follower.py
@@ -76,7 +76,7 @@
         self.store.status = 503
         await self.wait_for(lambda: any(isinstance(event, StoreLost) for event in self.seen))
         self.store.put("servers/i-1", self.entry)
-        self.store.forget_history()
+        self.store.discard_history()
         self.store.status = None
         await self.wait_for(lambda: len(self.snapshots()) == 2)
         self.assertEqual(1, len(self.news(UpstreamSeen)))
@@ -88,7 +88,7 @@
         would ask hundreds of times a second, and all pay for it and slow the store down.
         """
         await self.wait_for(self.snapshots)
-        self.store.contents.oldest = 10**9
+        self.store.contents.oldest_revision = 10**9
         await asyncio.sleep(0.3)
         before = self.store.calls
         await asyncio.sleep(2.0)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/cold_upstreams.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/cold_upstreams.py
@@ -48,7 +48,7 @@
             if warm_ms is None and not any(one.cold_answers_left for one in load.upstreams()):
                 warm_ms = load.cluster.run.now_ms - RESTART_MS
         load.finish()
-    most = max(upstream.most_while_cold for upstream in load.upstreams())
+    most = max(upstream.max_calls_while_cold for upstream in load.upstreams())
     more = {"most_calls_while_cold": most, "warm_after_ms": -1.0 if warm_ms is None else warm_ms}
     # What one call at a time could reach at best: each answer after the other.
     more["best_warm_after_ms"] = COLD_ANSWERS * SIZE.service_median_ms * 1.083
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/store_contents.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/store_contents.py
@@ -5,10 +5,10 @@
 
 from msgspec.json import encode
 
-REPLY_EVENTS = 500
+MAX_REPLY_EVENTS = 500
 """Changes in one reply to a watch; whoever is further behind asks again from its revision."""
 
-REPLY_BYTES = 1_000_000
+MAX_REPLY_BYTES = 1_000_000
 """Size of one reply to a watch, by its values in base64; the first change always fits."""
 
 FIRST_REVISION = 1
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, page_items: int) -> None:
-        self.oldest = 0
+        self.oldest_revision = 0
         self.revision = FIRST_REVISION
         self._page_items = page_items
         self._items: dict[str, dict] = {}
@@ -35,17 +35,17 @@
         self.revision += 1
         item = {"key": key, "revision": self.revision, "value": b64encode(data).decode()}
         self._items[key] = item
-        self._tell(item)
+        self._append_event(item)
 
     def delete(self, key: str) -> None:
         """Delete a key."""
         self.revision += 1
         self._items.pop(key, None)
-        self._tell({"key": key, "revision": self.revision, "deleted": True})
+        self._append_event({"key": key, "revision": self.revision, "deleted": True})
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Know nothing of what changed before now."""
-        self.oldest = self.revision
+        self.oldest_revision = self.revision
 
     def page(self, prefix: str, after: str) -> dict:
         """Return the keys with a prefix that come after a key, as far as they fit."""
@@ -56,26 +56,26 @@
 
     async def changes(self, after: int, wait_s: float) -> dict | None:
         """Return what changed after a revision, or wait for it; None when that is forgotten."""
-        if after < self.oldest:
+        if after < self.oldest_revision:
             return None
         if after >= self.revision:
             try:
                 await asyncio.wait_for(self._changed.wait(), wait_s)
             except TimeoutError:
                 return {"events": [], "currentRev": self.revision}
-        events = self._cut(self._events[after - FIRST_REVISION :][:REPLY_EVENTS])
+        events = self._limit_size(self._events[after - FIRST_REVISION :][:MAX_REPLY_EVENTS])
         return {"events": events, "currentRev": events[-1]["revision"]}
 
-    def _cut(self, events: list[dict]) -> list[dict]:
+    def _limit_size(self, events: list[dict]) -> list[dict]:
         """Return the events that fit into one reply by their size."""
         size_bytes = 0
         for count, event in enumerate(events):
             size_bytes += len(event.get("value", ""))
-            if count and size_bytes > REPLY_BYTES:
+            if count and size_bytes > MAX_REPLY_BYTES:
                 return events[:count]
         return events
 
-    def _tell(self, event: dict) -> None:
+    def _append_event(self, event: dict) -> None:
         self._events.append(event)
         self._changed.set()
         self._changed = asyncio.Event()
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/stub_store.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/stub_store.py
@@ -21,7 +21,7 @@
         self.address = ""
         self.put = self.contents.put
         self.delete = self.contents.delete
-        self.forget_history = self.contents.forget_history
+        self.discard_history = self.contents.discard_history
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> "StubStore":
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/virtual_store_client.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/virtual_store_client.py
@@ -10,7 +10,7 @@
 from geraniumlead_standins.forwarding.store_contents import StoreContents
 
 
-class StoreDoor(Enum):
+class StoreAccess(Enum):
     """Say how the store meets one instance."""
 
     OPEN = "open"
@@ -25,18 +25,18 @@
     while ``is_running`` is not set the instance stands still before it reads an answer.
     """
 
-    def __init__(self, contents: StoreContents, way_s: float) -> None:
+    def __init__(self, contents: StoreContents, one_way_delay_s: float) -> None:
         super().__init__("store.invalid:80")
         self._contents = contents
-        self._way_s = way_s
-        self.door = StoreDoor.OPEN
+        self._one_way_delay_s = one_way_delay_s
+        self.access = StoreAccess.OPEN
         self.calls = 0
         self.is_running = asyncio.Event()
         self.is_running.set()
 
     async def _call(self, path: str, query: dict, timeout_s: float, decoder: Decoder):
         self.calls += 1
-        await asyncio.sleep(self._way_s)
+        await asyncio.sleep(self._one_way_delay_s)
         try:
             answer = await asyncio.wait_for(self._answer(path, query, decoder), timeout_s)
         except TimeoutError as error:
@@ -46,9 +46,9 @@
         return answer
 
     async def _answer(self, path: str, query: dict, decoder: Decoder):
-        if self.door is StoreDoor.REFUSING:
+        if self.access is StoreAccess.REFUSING:
             raise StoreError("status 429")
-        if self.door is StoreDoor.SILENT:
+        if self.access is StoreAccess.SILENT:
             await asyncio.Event().wait()
         if path == RANGE_PATH:
             body = self._contents.page(query["prefix"], query.get("after", ""))
@@ -57,7 +57,7 @@
             body = await self._contents.changes(int(query["after"]), wait_s)
         if body is None:
             raise HistoryGoneError("the history is gone")
-        if self.door is StoreDoor.SILENT:
+        if self.access is StoreAccess.SILENT:
             await asyncio.Event().wait()
-        await asyncio.sleep(self._way_s)
+        await asyncio.sleep(self._one_way_delay_s)
         return decoder.decode(encode(body))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/__main__.py
@@ -6,10 +6,10 @@
 
 from geraniumlead_standins.histories.matrix import (
     Table,
-    drawn_pairs,
+    draw_pairs,
     failures_twice,
-    run_off,
-    run_on,
+    run_with_safeguards,
+    run_without_safeguards,
     single_failures,
 )
 from geraniumlead_standins.histories.report import write_report
@@ -29,18 +29,18 @@
     first, table = arguments.first_seed, Table()
     seeds = range(first, first + arguments.seeds)
     for label, scenarios in single_failures(seeds):
-        run_on(table, label, scenarios)
-        run_off(table, label, scenarios[: arguments.seeds_off])
+        run_with_safeguards(table, label, scenarios)
+        run_without_safeguards(table, label, scenarios[: arguments.seeds_off])
         print(label, flush=True)
-    run_on(table, "pairs", drawn_pairs(first, arguments.pairs))
-    run_on(table, "each twice", failures_twice(first))
+    run_with_safeguards(table, "pairs", draw_pairs(first, arguments.pairs))
+    run_with_safeguards(table, "each twice", failures_twice(first))
     text = (
         f"{seeds.start} to {seeds.stop - 1} for single failures, the first "
         f"{arguments.seeds_off} of them also without safeguard; pairs drawn from {first}"
     )
     arguments.page.parent.mkdir(parents=True, exist_ok=True)
     arguments.page.write_text(write_report(table, text))
-    return 1 if any(cell.broken_on for cell in table.values()) else 0
+    return 1 if any(cell.broken_with for cell in table.values()) else 0
 
 
 if __name__ == "__main__":
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/plain_variants.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/ablations.py
@@ -45,10 +45,10 @@
 def ignore_cold() -> Iterator[None]:
     """Use every slot of an upstream, cold or not."""
 
-    def most_in_flight(self, entry, warm_limit: int, now_ms: float) -> int:
+    def max_in_flight(self, entry, warm_limit: int, now_ms: float) -> int:
         return warm_limit
 
-    with patch.object(ColdStartGuard, "max_in_flight", most_in_flight):
+    with patch.object(ColdStartGuard, "max_in_flight", max_in_flight):
         yield
 
 
@@ -64,8 +64,8 @@
     """Send to an upstream while its entry exists."""
 
     def is_usable(self, upstream_id: str) -> bool:
-        placed = self.upstreams.get(upstream_id)
-        return placed is not None and self.is_data_centre_in(placed.data_centre)
+        entry = self.upstreams.get(upstream_id)
+        return entry is not None and self.is_data_centre_in(entry.data_centre)
 
     with patch.object(ClusterView, "is_usable", is_usable):
         yield
@@ -77,7 +77,7 @@
     original = QueryCoordinator._handle_answer
     kept: dict[tuple[int, str], Records] = {}
 
-    def take_answer(self, call, answer, now_ms):
+    def handle_answer(self, call, answer, now_ms):
         if isinstance(answer, Records):
             name = call.route.upstream_id
             has_others = any(True for _ in self._calls.queries_at(name))
@@ -86,12 +86,12 @@
                 answer = previous
         return original(self, call, answer, now_ms)
 
-    with patch.object(QueryCoordinator, "_handle_answer", take_answer):
+    with patch.object(QueryCoordinator, "_handle_answer", handle_answer):
         yield
 
 
 @contextmanager
-def call_unknown_not_run() -> Iterator[None]:
+def report_unknown_as_not_run() -> Iterator[None]:
     """Tell callers "not run" where the truth is not known."""
 
     def end(self, query, outcome, now_ms):
@@ -128,26 +128,26 @@
 
 
 @contextmanager
-def take_any_revision() -> Iterator[None]:
+def accept_any_revision() -> Iterator[None]:
     """Take every document that a source offers, old or new."""
 
-    def is_news(self, versioned) -> bool:
+    def is_other_revision(self, versioned) -> bool:
         held = self._newest.get(versioned.key)
         return held is None or versioned.revision != held.revision
 
-    with patch.object(DocumentStore, "_is_news", is_news):
+    with patch.object(DocumentStore, "_is_news", is_other_revision):
         yield
 
 
-PLAIN_VARIANTS: dict[str, Callable] = {
+ABLATIONS: dict[str, Callable] = {
     "one snapshot": merge_any_version,
     "true coverage": count_only_answers,
     "cold load": ignore_cold,
     "data centre out": ignore_data_centre_state,
     "own answer": match_answers_in_order,
-    "not run": call_unknown_not_run,
+    "not run": report_unknown_as_not_run,
     "at most once": run_each_arrival,
     "leaving upstream": ignore_leaving,
     "graceful stop": stop_at_once,
-    "configuration": take_any_revision,
+    "configuration": accept_any_revision,
 }
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/key_owner_variant.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/key_owner_variant.py
@@ -25,22 +25,22 @@
 
 def _is_settled_by_owner(self: RequestHandler, request: CallerRequest, now_ms: float) -> bool:
     parts, key = self._parts, request.ticket or ""
-    desk, book = parts.tickets, parts.tickets._registry
+    handler, registry = parts.tickets, parts.tickets._registry
     lists = parts.store.view.instances.values()
     names = [entry.instance_id for entries in lists for entry in entries]
     owner_id = rank_by_rendezvous(key, names)[0] if names else parts.settings.instance_id
     if owner_id != parts.settings.instance_id:
-        message, outcome = desk.forward(request, now_ms)
+        message, outcome = handler.forward(request, now_ms)
         if not parts.send(owner_id, message):
-            desk.drop_forwarded(message.call_id)
+            handler.drop_forwarded(message.call_id)
             self._calls.answer(request, outcome)
         return True
-    if key not in book._records:
-        book._records[key] = TicketRecord(
+    if key not in registry._records:
+        registry._records[key] = TicketRecord(
             request.customer, request.class_name, FOREVER_MS, FOREVER_MS
         )
-    outcome = book.claim(request, now_ms)
+    outcome = registry.claim(request, now_ms)
     if outcome is not None:
         self._calls.answer(request, outcome)
         return True
-    return desk.join_running(request)
+    return handler.join_running(request)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/matrix.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/matrix.py
@@ -5,8 +5,8 @@
 from itertools import combinations
 from random import Random
 
+from geraniumlead_standins.histories.ablations import ABLATIONS
 from geraniumlead_standins.histories.failures import FAILURES
-from geraniumlead_standins.histories.plain_variants import PLAIN_VARIANTS
 from geraniumlead_standins.histories.scenario import Scenario
 from geraniumlead_standins.history.checks import CHECKS
 
@@ -17,37 +17,39 @@
 
     runs: int = 0
     operations: int = 0
-    broken_off: int | None = None
-    broken_on: int = 0
-    seeds_broken: list[int] = field(default_factory=list)
+    broken_without: int | None = None
+    broken_with: int = 0
+    failing_seeds: list[int] = field(default_factory=list)
     examples: list[str] = field(default_factory=list)
 
 
 Table = dict[tuple[str, str], Cell]
 
 
-def run_on(table: Table, label: str, scenarios: Iterable[Scenario]) -> None:
+def run_with_safeguards(table: Table, label: str, scenarios: Iterable[Scenario]) -> None:
     """Run scenarios with all safeguards on, and check every point."""
     for scenario in scenarios:
         history = scenario.run()
-        for point, check in CHECKS.items():
-            result, cell = check(history), table.setdefault((label, point), Cell())
+        for invariant, check in CHECKS.items():
+            result, cell = check(history), table.setdefault((label, invariant), Cell())
             cell.runs += 1
             cell.operations += result.operations
-            cell.broken_on += len(result.violations)
+            cell.broken_with += len(result.violations)
             if result.violations:
-                cell.seeds_broken.append(scenario.seed)
+                cell.failing_seeds.append(scenario.seed)
                 cell.examples += [found.detail for found in result.violations[:1]]
 
 
-def run_off(table: Table, label: str, scenarios: Iterable[Scenario]) -> None:
+def run_without_safeguards(table: Table, label: str, scenarios: Iterable[Scenario]) -> None:
     """Run scenarios once for each point, without that point's safeguard."""
     for scenario in scenarios:
-        for point, without_safeguard in PLAIN_VARIANTS.items():
+        for invariant, without_safeguard in ABLATIONS.items():
             with without_safeguard():
                 history = scenario.run()
-            cell = table.setdefault((label, point), Cell())
-            cell.broken_off = (cell.broken_off or 0) + len(CHECKS[point](history).violations)
+            cell = table.setdefault((label, invariant), Cell())
+            cell.broken_without = (cell.broken_without or 0) + len(
+                CHECKS[invariant](history).violations
+            )
 
 
 def single_failures(seeds: Iterable[int]) -> Iterator[tuple[str, list[Scenario]]]:
@@ -58,7 +60,7 @@
         yield name, [Scenario(seed, (name,)) for seed in seeds]
 
 
-def drawn_pairs(seed: int, count: int) -> list[Scenario]:
+def draw_pairs(seed: int, count: int) -> list[Scenario]:
     """Draw pairs of different failures."""
     pairs = Random(seed).sample(list(combinations(FAILURES, 2)), count)
     return [Scenario(seed + number, pair) for number, pair in enumerate(pairs)]
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/recorded_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/recorded_run.py
@@ -20,15 +20,15 @@
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
         self.recorder = MemoryRecorder(lambda: self.now_ms)
-        self.on_action = self._note_action
-        self.on_reply = self._note_reply
+        self.on_action = self._record_action
+        self.on_reply = self._record_reply
         self.on_kill = lambda name: None
-        self._exits: dict[str, int] = {}
+        self._unfinished_at_exit: dict[str, int] = {}
 
     def add_upstream(self, address: str, upstream_id: str, **changes) -> FakeUpstream:
         """Start an upstream that writes what it sees."""
         upstream = super().add_upstream(address, upstream_id, **changes)
-        upstream.log = partial(self.recorder.note, upstream_id)
+        upstream.log = partial(self.recorder.record, upstream_id)
         return upstream
 
     def find_upstream(self, upstream_id: str) -> FakeUpstream:
@@ -39,13 +39,13 @@
         """Start the process of an instance."""
         name = settings.instance_id
         instance = super().start_instance(settings)
-        self._note_process(name, "process_started")
+        self._record_process_event(name, "process_started")
         return instance
 
     def publish(self, values: dict[str, bytes | None]) -> None:
         """Publish documents."""
         for number, (key, value) in enumerate(values.items()):
-            self.recorder.note(
+            self.recorder.record(
                 "platform",
                 "published",
                 key=key,
@@ -58,38 +58,38 @@
         """End a process, with notice when it asked for its end itself."""
         if not self.instances[name].is_alive:
             return
-        cut_off = self._exits.pop(name, None)
+        cut_off = self._unfinished_at_exit.pop(name, None)
         if cut_off is None:
-            self._note_process(name, "process_killed")
+            self._record_process_event(name, "process_killed")
         else:
-            self._note_process(name, "process_stopped", cut_off=cut_off)
+            self._record_process_event(name, "process_stopped", cut_off=cut_off)
         super().kill(name)
         self.on_kill(name)
 
     def freeze(self, name: str) -> None:
         """Stop a process for a while."""
-        self._note_process(name, "frozen")
+        self._record_process_event(name, "frozen")
         super().freeze(name)
 
     def thaw(self, name: str) -> None:
         """Let a frozen process go on."""
         if self.instances[name].is_frozen:
-            self._note_process(name, "thawed")
+            self._record_process_event(name, "thawed")
             super().thaw(name)
 
     def cut(self, pairs: set[tuple[str, str]]) -> None:
         """Cut links, each in one direction."""
-        self.recorder.note(FAULTS, "cut", pairs=tuple(sorted(pairs)))
+        self.recorder.record(FAULTS, "cut", pairs=tuple(sorted(pairs)))
         self.link.cut |= pairs
 
     def heal(self) -> None:
         """Open all links again."""
-        self.recorder.note(FAULTS, "healed")
+        self.recorder.record(FAULTS, "healed")
         self.link.heal()
 
     def set_loss(self, share: float) -> None:
         """Lose a share of all messages, or none."""
-        self.recorder.note(FAULTS, "losses_began" if share else "losses_ended")
+        self.recorder.record(FAULTS, "losses_began" if share else "losses_ended")
         self.link.loss = share
 
     def set_platform(self, is_down: bool = False, stale_at_revision: int | None = None) -> None:
@@ -97,29 +97,31 @@
         self.platform.is_down = is_down
         self.platform.stale_at_revision = stale_at_revision
         if is_down:
-            self.recorder.note(FAULTS, "platform_down")
+            self.recorder.record(FAULTS, "platform_down")
         elif stale_at_revision is not None:
-            self.recorder.note(FAULTS, "platform_stale")
+            self.recorder.record(FAULTS, "platform_stale")
         else:
-            self.recorder.note(FAULTS, "platform_up")
-        self.read_platform_again()
+            self.recorder.record(FAULTS, "platform_up")
+        self.restart_watches()
 
-    def _note_process(self, name: str, event: str, **fields) -> None:
+    def _record_process_event(self, name: str, event: str, **fields) -> None:
         incarnation = self.instances[name].instance.parts.incarnation
-        self.recorder.note(FAULTS, event, instance=name, incarnation=incarnation, **fields)
+        self.recorder.record(FAULTS, event, instance=name, incarnation=incarnation, **fields)
 
-    def _note_action(self, name: str, action: Action, now_ms: float) -> None:
+    def _record_action(self, name: str, action: Action, now_ms: float) -> None:
         match action:
             case StopNow(unfinished_requests=cut_off):
-                self._exits[name] = cut_off
+                self._unfinished_at_exit[name] = cut_off
             case Report(name="configuration_in_force"):
                 parts = self.instances[name].instance.parts
-                held = {item.key: item.revision for item in parts.store.documents_above(0)}
-                self.recorder.note(name, "in_force", incarnation=parts.incarnation, revisions=held)
+                revisions = {item.key: item.revision for item in parts.store.documents_above(0)}
+                self.recorder.record(
+                    name, "in_force", incarnation=parts.incarnation, revisions=revisions
+                )
 
-    def _note_reply(self, name: str, action: CallUpstream, answer: UpstreamAnswer) -> None:
+    def _record_reply(self, name: str, action: CallUpstream, answer: UpstreamAnswer) -> None:
         if isinstance(answer, Records):
-            self.recorder.note(
+            self.recorder.record(
                 name,
                 "reply_arrived",
                 request_id=action.subquery.request_id,
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/report.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/report.py
@@ -3,7 +3,7 @@
 from geraniumlead_standins.histories.matrix import Table
 from geraniumlead_standins.history.checks import CHECKS
 
-HEAD = """# What must always hold, checked over histories
+HEADER = """# What must always hold, checked over histories
 
 Written by `make histories`; the numbers are of the run that wrote them. Each cell reads
 *operations checked / broken with the point's safeguard patched out / broken as shipped*.
@@ -22,27 +22,29 @@
 def write_report(table: Table, seeds_text: str) -> str:
     """Return the page."""
     labels = list(dict.fromkeys(label for label, _ in table))
-    lines = [HEAD, f"Seeds: {seeds_text}.", ""]
+    lines = [HEADER, f"Seeds: {seeds_text}.", ""]
     lines.append("| failure | runs | " + " | ".join(CHECKS) + " |")
     lines.append("|---" * (len(CHECKS) + 2) + "|")
     for label in labels:
-        cells = [table[label, point] for point in CHECKS]
+        cells = [table[label, invariant] for invariant in CHECKS]
         texts = [
-            f"{cell.operations} / {'-' if cell.broken_off is None else cell.broken_off}"
-            f" / {cell.broken_on}"
+            f"{cell.operations} / {'-' if cell.broken_without is None else cell.broken_without}"
+            f" / {cell.broken_with}"
             for cell in cells
         ]
         lines.append(f"| {label} | {cells[0].runs} | " + " | ".join(texts) + " |")
     lines += ["", "## Broken as shipped", ""]
-    broken = [(key, cell) for key, cell in table.items() if cell.broken_on]
-    for (label, point), cell in broken:
-        seeds = ", ".join(str(seed) for seed in cell.seeds_broken)
-        lines.append(f"- {point}, {label}: {cell.broken_on}, seeds {seeds}: {cell.examples[0]}")
+    broken = [(key, cell) for key, cell in table.items() if cell.broken_with]
+    for (label, invariant), cell in broken:
+        seeds = ", ".join(str(seed) for seed in cell.failing_seeds)
+        lines.append(
+            f"- {invariant}, {label}: {cell.broken_with}, seeds {seeds}: {cell.examples[0]}"
+        )
     if not broken:
         lines.append("None in these runs.")
     lines += ["", "## Safeguard taken out", ""]
-    for point in CHECKS:
-        cells = {label: table[label, point].broken_off for label in labels}
+    for invariant in CHECKS:
+        cells = {label: table[label, invariant].broken_without for label in labels}
         failing = [label for label, broken_off in cells.items() if broken_off]
-        lines.append(f"- {point}: the check fails under {len(failing)} of these failures.")
+        lines.append(f"- {invariant}: the check fails under {len(failing)} of these failures.")
     return "\n".join(lines) + "\n"
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/scenario.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/scenario.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass
 from random import Random
 
-from geraniumlead_standins.histories.caller_crowd import build_operation
 from geraniumlead_standins.histories.failures import FAILURES
-from geraniumlead_standins.histories.stage import HERE, Stage
+from geraniumlead_standins.histories.simulated_callers import build_operation
+from geraniumlead_standins.histories.testbed import NOORD, Testbed
 from geraniumlead_standins.history import History
 
 RUN_MS = 26_000.0
@@ -27,18 +27,18 @@
 
     def run(self) -> History:
         """Run the schedule and return its history."""
-        stage = Stage.from_seed(self.seed)
+        testbed = Testbed.from_seed(self.seed)
         random = Random(f"{self.seed}/{self.failures}")
-        _schedule_callers(stage, random)
-        _schedule_operators(stage, random)
+        _schedule_callers(testbed, random)
+        _schedule_operators(testbed, random)
         for name in self.failures:
-            FAILURES[name](stage, random.uniform(FIRST_FAILURE_MS, LAST_FAILURE_MS))
-        stage.run.queue.run_until(RUN_MS)
-        stage.run.recorder.note("run", "ended_run")
-        return History(stage.run.recorder.events)
+            FAILURES[name](testbed, random.uniform(FIRST_FAILURE_MS, LAST_FAILURE_MS))
+        testbed.run.queue.run_until(RUN_MS)
+        testbed.run.recorder.record("run", "ended_run")
+        return History(testbed.run.recorder.events)
 
 
-def _schedule_callers(stage: Stage, random: Random) -> None:
+def _schedule_callers(testbed: Testbed, random: Random) -> None:
     times_ms = [random.uniform(500.0, CALLS_UNTIL_MS) for _ in range(OPERATIONS)]
     for _ in range(BURSTS):
         # More at once than the contract allows, so that some are refused.
@@ -46,18 +46,18 @@
         times_ms += [burst_ms + random.uniform(0.0, BURST_MS) for _ in range(OPERATIONS_PER_BURST)]
     for number, at_ms in enumerate(times_ms):
         operation = build_operation(number, random)
-        stage.at(at_ms, lambda o=operation: stage.crowd.start(o))
+        testbed.schedule(at_ms, lambda o=operation: testbed.callers.start(o))
 
 
-def _schedule_operators(stage: Stage, random: Random) -> None:
+def _schedule_operators(testbed: Testbed, random: Random) -> None:
     """Let one upstream leave, take a centre out and back, and restart one instance."""
-    leaving = random.choice(stage.upstream_ids())
+    leaving = random.choice(testbed.upstream_ids())
     home = leaving.split("-")[1]
-    stage.at(random.uniform(3e3, 8e3), lambda: stage.set_upstream_states(home, {leaving}))
+    testbed.schedule(random.uniform(3e3, 8e3), lambda: testbed.set_upstream_states(home, {leaving}))
     out_ms = random.uniform(3_000.0, 8_000.0)
-    stage.at(out_ms, lambda: stage.set_data_centre(HERE, "out"))
-    stage.at(out_ms + 9_000.0, lambda: stage.bring_back(HERE))
-    stage.at(random.uniform(3e3, 12e3), lambda: stage.change_contract(weight=5))
-    stopped, stop_ms = random.choice(stage.names), random.uniform(3e3, 9e3)
-    stage.at(stop_ms, lambda: stage.stop_gracefully(stopped))
-    stage.at(stop_ms + 4_000.0, lambda: stage.replace_instance(stopped))
+    testbed.schedule(out_ms, lambda: testbed.set_data_centre(NOORD, "out"))
+    testbed.schedule(out_ms + 9_000.0, lambda: testbed.bring_back(NOORD))
+    testbed.schedule(random.uniform(3e3, 12e3), lambda: testbed.change_contract(weight=5))
+    stopped, stop_ms = random.choice(testbed.instance_names), random.uniform(3e3, 9e3)
+    testbed.schedule(stop_ms, lambda: testbed.stop_gracefully(stopped))
+    testbed.schedule(stop_ms + 4_000.0, lambda: testbed.replace_instance(stopped))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/caller_crowd.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/simulated_callers.py
@@ -18,13 +18,13 @@
 ONE_WAY_MS = 1.0
 GRACE_MS = 400.0
 FROZEN_POLL_MS = 20.0
-MOST_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 DEADLINES_MS = {"lookup": 200.0, "booking": 500.0}
-LEAST_COVERAGE = 0.3
+MIN_COVERAGE = 0.3
 CALLER = "callers"
 
 
-class CallerCrowd:
+class SimulatedCallers:
     """Run operations: a booking asks for a ticket first, and sends it with every attempt."""
 
     def __init__(self, run: RecordedRun, balancer: Balancer, random: Random) -> None:
@@ -33,9 +33,9 @@
         self._random = random
         self._numbers = count()
         self._open: dict[str, OpenRequest] = {}
-        self._ticket_asks: dict[str, Operation] = {}
-        run.on_answer = self._take_answer
-        run.on_kill = self._lose_requests
+        self._ticket_requests: dict[str, Operation] = {}
+        run.on_answer = self._handle_answer
+        run.on_kill = self._reset_connections
 
     def start(self, operation: Operation) -> None:
         """Begin an operation now."""
@@ -45,15 +45,15 @@
                 self._send(operation)
             return
         request_id = f"t{next(self._numbers)}"
-        self._ticket_asks[request_id] = operation
+        self._ticket_requests[request_id] = operation
         name = self._balancer.choose()
         event = TicketRequested(request_id, CUSTOMER, operation.class_name)
-        self._later(ONE_WAY_MS, lambda: self._run.deliver(name, event))
-        self._later(GRACE_MS, lambda: self._ask_ticket_again(request_id))
+        self._schedule(ONE_WAY_MS, lambda: self._run.deliver(name, event))
+        self._schedule(GRACE_MS, lambda: self._retry_ticket_request(request_id))
 
-    def _ask_ticket_again(self, request_id: str) -> None:
-        operation = self._ticket_asks.pop(request_id, None)
-        if operation is not None and operation.attempts < MOST_ATTEMPTS:
+    def _retry_ticket_request(self, request_id: str) -> None:
+        operation = self._ticket_requests.pop(request_id, None)
+        if operation is not None and operation.attempts < MAX_ATTEMPTS:
             operation.attempts += 1
             self.start(operation)
 
@@ -66,7 +66,7 @@
             DEADLINES_MS[operation.class_name],
         )
         self._open[request.request_id] = request
-        self._run.recorder.note(
+        self._run.recorder.record(
             CALLER,
             "sent",
             request_id=request.request_id,
@@ -79,52 +79,52 @@
             attempt=operation.attempts,
             deadline_ms=request.deadline_ms,
         )
-        self._later(ONE_WAY_MS, lambda: self._arrive(request))
-        self._later(request.deadline_ms + GRACE_MS, lambda: self._time_out(request))
+        self._schedule(ONE_WAY_MS, lambda: self._deliver(request))
+        self._schedule(request.deadline_ms + GRACE_MS, lambda: self._time_out(request))
         if operation.gives_up_after_ms is not None and operation.attempts == 1:
-            self._later(operation.gives_up_after_ms, lambda: self._hang_up(request))
+            self._schedule(operation.gives_up_after_ms, lambda: self._disconnect(request))
 
-    def _arrive(self, request: OpenRequest) -> None:
+    def _deliver(self, request: OpenRequest) -> None:
         host = self._run.instances[request.instance]
         if not host.is_alive:
             self._close(request, "lost", reason="connection refused")
             return
         if host.is_frozen:
             # The bytes wait in the socket; the process reads them when it wakes.
-            self._later(FROZEN_POLL_MS, lambda: self._arrive(request))
+            self._schedule(FROZEN_POLL_MS, lambda: self._deliver(request))
             return
         operation, now_ms = request.operation, self._run.now_ms
-        asked = CallerRequest(
+        caller_request = CallerRequest(
             request_id=request.request_id,
             customer=CUSTOMER,
             class_name=operation.class_name,
             query=operation.query,
             arrived_ms=now_ms,
             deadline_ms=now_ms + request.deadline_ms,
-            least_coverage=LEAST_COVERAGE if operation.idempotent else 1.0,
+            least_coverage=MIN_COVERAGE if operation.idempotent else 1.0,
             key=operation.key,
             attempt=operation.attempts,
             ticket=operation.ticket,
         )
-        self._run.deliver(request.instance, QueryArrived(asked))
+        self._run.deliver(request.instance, QueryArrived(caller_request))
         if request.is_closed:
             self._run.deliver(request.instance, CallerDisconnected(request.request_id))
 
-    def _take_answer(
+    def _handle_answer(
         self, name: str, action: AnswerCaller | AnswerTicketRequest, now_ms: float
     ) -> None:
         match action:
             case AnswerTicketRequest(request_id=request_id, ticket=ticket):
-                operation = self._ticket_asks.pop(request_id, None)
+                operation = self._ticket_requests.pop(request_id, None)
                 if operation is not None and ticket is not None:
                     operation.ticket = ticket
-                    self._later(ONE_WAY_MS, lambda: self.start(operation))
+                    self._schedule(ONE_WAY_MS, lambda: self.start(operation))
             case AnswerCaller(request_id=request_id, outcome=outcome):
                 request = self._open.get(request_id)
                 if request is not None:
-                    self._later(ONE_WAY_MS, lambda: self._take_outcome(request, outcome))
+                    self._schedule(ONE_WAY_MS, lambda: self._handle_outcome(request, outcome))
 
-    def _take_outcome(self, request: OpenRequest, outcome: Outcome) -> None:
+    def _handle_outcome(self, request: OpenRequest, outcome: Outcome) -> None:
         match outcome:
             case Answered(index_version=version, coverage=coverage, records=records):
                 self._close(
@@ -146,7 +146,7 @@
     def _close(self, request: OpenRequest, outcome: str, **fields) -> None:
         if request.has_timed_out:
             return
-        self._run.recorder.note(
+        self._run.recorder.record(
             CALLER, "answered", request_id=request.request_id, outcome=outcome, **fields
         )
         if request.is_closed:
@@ -154,12 +154,12 @@
         request.is_closed = True
         operation = request.operation
         operation.is_done |= outcome in ("whole", "partial", "failed")
-        self._send_again_later(operation)
+        self._schedule_retry(operation)
 
-    def _send_again_later(self, operation: Operation) -> None:
+    def _schedule_retry(self, operation: Operation) -> None:
         pause_ms = self._random.uniform(5.0, 800.0)
-        if not operation.is_done and operation.attempts < MOST_ATTEMPTS:
-            self._later(pause_ms, lambda: operation.is_done or self._send(operation))
+        if not operation.is_done and operation.attempts < MAX_ATTEMPTS:
+            self._schedule(pause_ms, lambda: operation.is_done or self._send(operation))
 
     def _time_out(self, request: OpenRequest) -> None:
         if not request.is_closed:
@@ -167,25 +167,25 @@
             request.has_timed_out = True
             self._run.deliver(request.instance, CallerDisconnected(request.request_id))
 
-    def _hang_up(self, request: OpenRequest) -> None:
+    def _disconnect(self, request: OpenRequest) -> None:
         if request.is_closed:
             return
         request.is_closed = request.has_timed_out = True
-        self._run.recorder.note(CALLER, "dropped", request_id=request.request_id)
+        self._run.recorder.record(CALLER, "dropped", request_id=request.request_id)
         self._run.deliver(request.instance, CallerDisconnected(request.request_id))
-        self._send_again_later(request.operation)
+        self._schedule_retry(request.operation)
 
-    def _lose_requests(self, name: str) -> None:
+    def _reset_connections(self, name: str) -> None:
         for request in self._open.values():
             if request.instance == name and not request.is_closed:
-                self._later(ONE_WAY_MS, lambda request=request: self._lose(request))
+                self._schedule(ONE_WAY_MS, lambda request=request: self._reset(request))
 
-    def _lose(self, request: OpenRequest) -> None:
+    def _reset(self, request: OpenRequest) -> None:
         if not request.is_closed:
             self._close(request, "lost", reason="connection reset")
             request.has_timed_out = True
 
-    def _later(self, delay_ms: float, callback) -> None:
+    def _schedule(self, delay_ms: float, callback) -> None:
         self._run.queue.add(self._run.now_ms + delay_ms, callback)
 
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/stage.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/testbed.py
@@ -20,9 +20,9 @@
 )
 from geraniumlead.events import StopRequested
 from geraniumlead_standins.histories.balancer import Balancer
-from geraniumlead_standins.histories.caller_crowd import CallerCrowd, build_operation
 from geraniumlead_standins.histories.operation import Operation
 from geraniumlead_standins.histories.recorded_run import FAULTS, RecordedRun
+from geraniumlead_standins.histories.simulated_callers import SimulatedCallers, build_operation
 from geraniumlead_standins.history.checks.cold_load import WHILE_AWAY
 from geraniumlead_standins.virtual.small_cluster import (
     SERVICE,
@@ -32,10 +32,10 @@
     default_contract,
 )
 
-HERE, THERE = "noord", "zuid"
-SIZE = ClusterSize(data_centres=(HERE, THERE), instances=2, shards=3, replicas=2)
+NOORD, ZUID = "noord", "zuid"
+SIZE = ClusterSize(data_centres=(NOORD, ZUID), instances=2, shards=3, replicas=2)
 
-FEW_CONNECTIONS = 7
+SINGLE_OWNER_CONNECTIONS = 7
 """Enough for one owner only, so that half of the subqueries pass through a peer."""
 
 
@@ -44,39 +44,39 @@
 
 
 @dataclass(slots=True)
-class Stage:
+class Testbed:
     """Hold a running cluster of two data centres and its callers."""
 
     run: RecordedRun
     cluster: SmallCluster
-    crowd: CallerCrowd
+    callers: SimulatedCallers
     random: Random
     returns_cold: bool = False
     has_one_owner: bool = False
     numbers: Iterator[int] = field(default_factory=lambda: count(10_000))
 
     @classmethod
-    def from_seed(cls, seed: int) -> "Stage":
+    def from_seed(cls, seed: int) -> "Testbed":
         """Start everything; all randomness comes from the seed."""
         run = RecordedRun(seed)
         has_one_owner = seed % 2 == 1
-        size = replace_size(SIZE, connections=FEW_CONNECTIONS) if has_one_owner else SIZE
+        size = replace_size(SIZE, connections=SINGLE_OWNER_CONNECTIONS) if has_one_owner else SIZE
         cluster = SmallCluster.from_size(size, seed, CONTRACT, run=run)
-        crowd = CallerCrowd(run, Balancer(run, Random(f"{seed}/b")), Random(f"{seed}/c"))
+        crowd = SimulatedCallers(run, Balancer(run, Random(f"{seed}/b")), Random(f"{seed}/c"))
         return cls(run, cluster, crowd, Random(f"{seed}/s"), has_one_owner=has_one_owner)
 
-    def at(self, time_ms: float, callback: Callable[[], None]) -> None:
+    def schedule(self, time_ms: float, callback: Callable[[], None]) -> None:
         """Do something at a time."""
         self.run.queue.add(time_ms, callback)
 
     @property
-    def names(self) -> list[str]:
+    def instance_names(self) -> list[str]:
         """Return the names of all instances."""
         return sorted(self.cluster.settings)
 
-    def names_in(self, data_centre: str) -> set[str]:
+    def instances_in(self, data_centre: str) -> set[str]:
         """Return the instances of a data centre."""
-        return {name for name in self.names if name.startswith(data_centre)}
+        return {name for name in self.instance_names if name.startswith(data_centre)}
 
     def upstream_ids(self, data_centre: str = "") -> list[str]:
         """Return the upstreams of a data centre, or all."""
@@ -125,7 +125,7 @@
 
     def repartition(self, version: int, shard_count: int, published_after_ms: float = 0.0) -> None:
         """Spread the data anew over other upstreams, as a new index version."""
-        names = {place: self.upstream_ids(place) for place in SIZE.data_centres}
+        names = {data_centre: self.upstream_ids(data_centre) for data_centre in SIZE.data_centres}
         shards = []
         for shard in range(shard_count):
             replicas = [
@@ -137,7 +137,7 @@
             for upstream_id in replicas:
                 self.run.find_upstream(upstream_id).holds.setdefault(version, set()).add(shard)
         document = IndexDocument(service=SERVICE, version=version, shards=shards)
-        self.at(
+        self.schedule(
             self.run.now_ms + published_after_ms,
             lambda: self.publish(DocumentKind.INDEX, SERVICE, str(version), document=document),
         )
@@ -149,14 +149,14 @@
     def burst(self, name: str, size: int) -> None:
         """Let many callers ask at once."""
         for _ in range(size):
-            self.crowd.start(self.draw_operation(name))
+            self.callers.start(self.draw_operation(name))
 
     def retire(self, version: int) -> None:
         """Drop an index version from every upstream; the document follows."""
         for upstream in self.run.upstreams.values():
             upstream.holds.pop(version, None)
         document = replace(build_index(SIZE, 1), version=version, state="retired")
-        self.at(
+        self.schedule(
             self.run.now_ms + 500.0,
             lambda: self.publish(DocumentKind.INDEX, SERVICE, str(version), document=document),
         )
@@ -170,7 +170,7 @@
         """Ask a process to stop, as operators do."""
         host = self.run.instances[name]
         if host.is_alive and not host.is_frozen:
-            self.run.recorder.note(FAULTS, "stop_asked", instance=name)
+            self.run.recorder.record(FAULTS, "stop_asked", instance=name)
             self.run.deliver(name, StopRequested())
 
     def cut_between(self, group: set[str], others: set[str]) -> None:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/__main__.py
@@ -7,7 +7,7 @@
 from geraniumlead_standins.history.checks import check_all
 from geraniumlead_standins.history.history import History
 
-MOST_SHOWN = 20
+MAX_SHOWN = 20
 
 
 def main() -> int:
@@ -16,8 +16,10 @@
     parser.add_argument("files", type=Path, nargs="+")
     results = check_all(History.from_files(parser.parse_args().files))
     for result in results:
-        print(f"{result.point}: {result.operations} operations, {len(result.violations)} broken")
-        for violation in result.violations[:MOST_SHOWN]:
+        print(
+            f"{result.invariant}: {result.operations} operations, {len(result.violations)} broken"
+        )
+        for violation in result.violations[:MAX_SHOWN]:
             print(f"  {violation.at_ns}: {violation.detail}")
     return 1 if any(result.violations for result in results) else 0
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/check_result.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/check_result.py
@@ -12,10 +12,10 @@
     A point that had no operation to check has not been shown to hold.
     """
 
-    point: str
+    invariant: str
     operations: int = 0
     violations: list[Violation] = field(default_factory=list)
 
     def add(self, at_ns: int, detail: str) -> None:
         """Note a violation."""
-        self.violations.append(Violation(self.point, at_ns, detail))
+        self.violations.append(Violation(self.invariant, at_ns, detail))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/at_most_once.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/at_most_once.py
@@ -13,15 +13,15 @@
     none.
     """
     result = CheckResult("at most once")
-    bookings = {sent.token for sent in history.of("sent") if not sent.idempotent}
+    bookings = {sent.token for sent in history.get_events("sent") if not sent.idempotent}
     for token in sorted(bookings):
         result.operations += 1
         starts = history.starts_by_token.get(token, [])
         if len(starts) > 1:
-            places = ", ".join(start.who for start in starts)
-            result.add(starts[1].at_ns, f"{token}: began {len(starts)} times, on {places}")
+            upstream_ids = ", ".join(start.who for start in starts)
+            result.add(starts[1].at_ns, f"{token}: began {len(starts)} times, on {upstream_ids}")
     ran_by: dict[str, int] = {}
-    for answer in history.of("answered"):
+    for answer in history.get_events("answered"):
         sent = history.sent_by_request.get(answer.request_id)
         if sent is None or sent.idempotent:
             continue
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/cold_load.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/cold_load.py
@@ -29,11 +29,11 @@
     """
     result = CheckResult("cold load")
     loads: dict[str, _Load] = {}
-    for event in history.of("received", "ended", "turned_cold", "turned_warm"):
+    for event in history.get_events("received", "ended", "turned_cold", "turned_warm"):
         load = loads.setdefault(event.who, _Load())
         match event.event:
             case "turned_cold":
-                loads[event.who] = _Load.from_turn(event)
+                loads[event.who] = _Load.from_event(event)
             case "turned_warm":
                 load.is_cold = False
             case "ended":
@@ -52,37 +52,39 @@
 class _Load:
     is_cold: bool = False
     allowance: int = 0
-    told_all_ns: int | None = None
-    told_ns: dict[str, int] = field(default_factory=dict)
+    shared_from_ns: int | None = None
+    known_from_ns: dict[str, int] = field(default_factory=dict)
     calls: set[str] = field(default_factory=set)
 
     @classmethod
-    def from_turn(cls, event: HistoryEvent) -> "_Load":
+    def from_event(cls, event: HistoryEvent) -> "_Load":
         load = cls(True, event.allowance)
         if event.reason == WHILE_AWAY:
-            load.told_all_ns = event.at_ns - NOTICE_ALLOWANCE_NS
+            load.shared_from_ns = event.at_ns - NOTICE_ALLOWANCE_NS
         return load
 
     def end_call(self, event: HistoryEvent) -> None:
         self.calls.discard(event.call_id)
         if self.is_cold:
-            self.told_ns.setdefault(event.instance, event.at_ns + OWN_NOTICE_NS)
-            if self.told_all_ns is None:
-                self.told_all_ns = event.at_ns
+            self.known_from_ns.setdefault(event.instance, event.at_ns + OWN_NOTICE_NS)
+            if self.shared_from_ns is None:
+                self.shared_from_ns = event.at_ns
 
     def add_call(self, event: HistoryEvent, reachability: Reachability) -> bool:
         """Return whether the call is one too many of an instance that could know."""
-        if not self._is_told(event, reachability):
+        if not self._is_informed(event, reachability):
             return False
         self.calls.add(event.call_id)
         return len(self.calls) > self.allowance
 
-    def _is_told(self, event: HistoryEvent, reachability: Reachability) -> bool:
-        if event.at_ns >= self.told_ns.get(event.instance, event.at_ns + 1):
+    def _is_informed(self, event: HistoryEvent, reachability: Reachability) -> bool:
+        if event.at_ns >= self.known_from_ns.get(event.instance, event.at_ns + 1):
             return True
-        if self.told_all_ns is None:
+        if self.shared_from_ns is None:
             return False
-        told_ns: int | None = self.told_all_ns + NOTICE_ALLOWANCE_NS
+        known_from_ns: int | None = self.shared_from_ns + NOTICE_ALLOWANCE_NS
         if event.instance:
-            told_ns = reachability.told_by_ns(event.instance, self.told_all_ns, NOTICE_ALLOWANCE_NS)
-        return told_ns is not None and event.at_ns >= told_ns
+            known_from_ns = reachability.find_informed_ns(
+                event.instance, self.shared_from_ns, NOTICE_ALLOWANCE_NS
+            )
+        return known_from_ns is not None and event.at_ns >= known_from_ns
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/configuration.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/configuration.py
@@ -21,21 +21,23 @@
     """
     result = CheckResult("configuration")
     reports: dict[tuple[str, str], list[HistoryEvent]] = defaultdict(list)
-    for event in history.of("in_force"):
+    for event in history.get_events("in_force"):
         reports[event.who, event.incarnation].append(event)
     ends = _find_ends(history)
-    for (instance, incarnation), lines in reports.items():
-        _find_reverts(result, instance, lines)
+    for (instance, incarnation), reports_of_incarnation in reports.items():
+        _find_reverts(result, instance, reports_of_incarnation)
         end_ns = ends.get((instance, incarnation), history.end_ns)
-        for published in history.of("published"):
-            first_ns = max(published.at_ns, lines[0].at_ns)
-            due_ns = history.reachability.told_by_ns(instance, first_ns, IN_FORCE_ALLOWANCE_NS)
+        for published in history.get_events("published"):
+            first_ns = max(published.at_ns, reports_of_incarnation[0].at_ns)
+            due_ns = history.reachability.find_informed_ns(
+                instance, first_ns, IN_FORCE_ALLOWANCE_NS
+            )
             if due_ns is None or due_ns > end_ns:
                 continue
             result.operations += 1
             if not any(
                 line.revisions.get(published.key, 0) >= published.revision
-                for line in lines
+                for line in reports_of_incarnation
                 if line.at_ns <= due_ns
             ):
                 result.add(
@@ -44,9 +46,11 @@
     return result
 
 
-def _find_reverts(result: CheckResult, instance: str, lines: list[HistoryEvent]) -> None:
+def _find_reverts(
+    result: CheckResult, instance: str, reports_of_incarnation: list[HistoryEvent]
+) -> None:
     highest: dict[str, int] = {}
-    for line in lines:
+    for line in reports_of_incarnation:
         for key, revision in line.revisions.items():
             if revision < highest.get(key, 0):
                 result.add(line.at_ns, f"{instance}: {key} went from {highest[key]} to {revision}")
@@ -56,5 +60,5 @@
 def _find_ends(history: History) -> dict[tuple[str, str], int]:
     return {
         (event.instance, event.incarnation): event.at_ns
-        for event in history.of("process_killed", "process_stopped")
+        for event in history.get_events("process_killed", "process_stopped")
     }
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/data_centre_out.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/data_centre_out.py
@@ -17,8 +17,8 @@
     Clock and allowance: see ``check_withdrawals``.
     """
     out_since: dict[str, int] = {}
-    spans: list[tuple[str, int, int]] = []
-    for event in history.of("published"):
+    intervals: list[tuple[str, int, int]] = []
+    for event in history.get_events("published"):
         if not event.key.startswith(PREFIX):
             continue
         name = event.key.removeprefix(PREFIX)
@@ -26,12 +26,12 @@
         if is_out:
             out_since.setdefault(name, event.at_ns)
         elif name in out_since:
-            spans.append((name, out_since.pop(name), event.at_ns))
-    spans += [(name, since_ns, FOREVER_NS) for name, since_ns in out_since.items()]
+            intervals.append((name, out_since.pop(name), event.at_ns))
+    intervals += [(name, since_ns, FOREVER_NS) for name, since_ns in out_since.items()]
     withdrawals = [
         Withdrawal(upstream_id, from_ns, until_ns)
-        for name, from_ns, until_ns in spans
-        for upstream_id, home in history.home_of_upstream.items()
-        if home == name
+        for name, from_ns, until_ns in intervals
+        for upstream_id, data_centre in history.data_centre_by_upstream.items()
+        if data_centre == name
     ]
     return check_withdrawals("data centre out", history, withdrawals)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/graceful_stop.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/graceful_stop.py
@@ -18,15 +18,15 @@
     all lines share.
     """
     result = CheckResult("graceful stop")
-    dropped = {event.request_id for event in history.of("dropped")}
-    for asked in history.of("stop_asked"):
+    dropped = {event.request_id for event in history.get_events("dropped")}
+    for asked in history.get_events("stop_asked"):
         stopped = _find_end(history, asked)
         if stopped is None or stopped.event != "process_stopped":
             continue
         result.operations += 1
         if stopped.cut_off:
             result.add(stopped.at_ns, f"{asked.instance}: ended with {stopped.cut_off} open")
-        for sent in history.of("sent"):
+        for sent in history.get_events("sent"):
             is_counted = (
                 sent.instance == asked.instance
                 and sent.request_id not in dropped
@@ -45,10 +45,10 @@
 def _find_dropped_replies(
     history: History, asked: HistoryEvent, stopped: HistoryEvent
 ) -> list[str]:
-    if history.reachability.had_losses(asked.at_ns, stopped.at_ns):
+    if history.reachability.had_message_loss(asked.at_ns, stopped.at_ns):
         return []
     problems = []
-    for reply in history.of("reply_arrived"):
+    for reply in history.get_events("reply_arrived"):
         if reply.who != asked.instance or not asked.at_ns <= reply.at_ns <= stopped.at_ns:
             continue
         for answer in history.answers_by_request.get(reply.request_id, ()):
@@ -59,7 +59,7 @@
 
 
 def _find_end(history: History, asked: HistoryEvent) -> HistoryEvent | None:
-    for event in history.of("process_stopped", "process_killed", "frozen"):
+    for event in history.get_events("process_stopped", "process_killed", "frozen"):
         if event.instance == asked.instance and event.at_ns >= asked.at_ns:
             return event
     return None
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/leaving_upstream.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/leaving_upstream.py
@@ -17,7 +17,7 @@
     left_since: dict[str, int] = {}
     withdrawals: list[Withdrawal] = []
     listed: dict[str, set[str]] = {}
-    for event in history.of("published"):
+    for event in history.get_events("published"):
         if not event.key.startswith(UPSTREAM_LIST_PREFIX):
             continue
         entries = event.value["upstreams"] if event.value is not None else []
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/not_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/not_run.py
@@ -16,7 +16,7 @@
     """
     result = CheckResult("not run")
     starts_of_request = _group_by_caller_id(history)
-    for answer in history.of("answered"):
+    for answer in history.get_events("answered"):
         sent = history.sent_by_request.get(answer.request_id)
         if answer.outcome != "not_run" or sent is None:
             continue
@@ -40,6 +40,6 @@
 def _group_by_caller_id(history: History) -> dict[str, list[HistoryEvent]]:
     """Group by the identifier the caller gave: the system may add a suffix after a dot."""
     groups = defaultdict(list)
-    for start in history.of("started"):
+    for start in history.get_events("started"):
         groups[start.request_id.split(".", 1)[0]].append(start)
     return groups
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/one_snapshot.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/one_snapshot.py
@@ -10,7 +10,7 @@
     Clock: none, only what the answer itself holds. Allowance: none.
     """
     result = CheckResult("one snapshot")
-    for answer in history.of("answered"):
+    for answer in history.get_events("answered"):
         if answer.outcome not in ("whole", "partial"):
             continue
         result.operations += 1
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/own_answer.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/own_answer.py
@@ -16,7 +16,7 @@
     was killed or frozen while it waited, or when its caller left. Clock: the caller's.
     """
     result = CheckResult("own answer")
-    dropped = {event.request_id for event in history.of("dropped")}
+    dropped = {event.request_id for event in history.get_events("dropped")}
     for request_id, sent in history.sent_by_request.items():
         due_ns = sent.at_ns + int(sent.deadline_ms * 1_000_000) + ANSWER_ALLOWANCE_NS
         if due_ns > history.end_ns:
@@ -24,11 +24,11 @@
         result.operations += 1
         answers = history.answers_by_request.get(request_id, [])
         for answer in answers:
-            for detail in _find_strangers(sent, answer):
+            for detail in _find_foreign_records(sent, answer):
                 result.add(answer.at_ns, f"{request_id}: {detail}")
         if len(answers) > 1:
             result.add(answers[1].at_ns, f"{request_id}: {len(answers)} answers")
-        is_excused = request_id in dropped or history.reachability.was_away(
+        is_excused = request_id in dropped or history.reachability.was_unavailable(
             sent.instance, sent.at_ns, due_ns
         )
         in_time = [
@@ -39,6 +39,6 @@
     return result
 
 
-def _find_strangers(sent: HistoryEvent, answer: HistoryEvent) -> list[str]:
-    strangers = {record.token for record in answer.records} - {sent.token}
-    return [f"holds records of {stranger!r}" for stranger in sorted(strangers)]
+def _find_foreign_records(sent: HistoryEvent, answer: HistoryEvent) -> list[str]:
+    foreign_tokens = {record.token for record in answer.records} - {sent.token}
+    return [f"holds records of {token!r}" for token in sorted(foreign_tokens)]
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/true_coverage.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/true_coverage.py
@@ -27,7 +27,7 @@
     """
     result = CheckResult("true coverage")
     replies = _find_replies(history)
-    for answer in history.of("answered"):
+    for answer in history.get_events("answered"):
         sent = history.sent_by_request.get(answer.request_id)
         if answer.outcome not in ("whole", "partial") or sent is None:
             continue
@@ -76,7 +76,7 @@
 
 def _find_replies(history: History) -> dict[tuple[str, int, int], HistoryEvent]:
     first: dict[tuple[str, int, int], HistoryEvent] = {}
-    for reply in history.of("reply_arrived"):
+    for reply in history.get_events("reply_arrived"):
         first.setdefault((reply.request_id, reply.index_version, reply.shard), reply)
     return first
 
@@ -93,8 +93,8 @@
         if reply is None or reply.at_ns + REPLY_ALLOWANCE_NS >= answer.at_ns:
             continue
         is_lost = reply.who != sent.instance and (
-            history.reachability.had_losses(reply.at_ns, answer.at_ns)
-            or history.reachability.was_away(reply.who, reply.at_ns, answer.at_ns)
+            history.reachability.had_message_loss(reply.at_ns, answer.at_ns)
+            or history.reachability.was_unavailable(reply.who, reply.at_ns, answer.at_ns)
         )
         if not is_lost:
             problems.append(f"shard {shard} had replied and is called missing")
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/withdrawal.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/withdrawal.py
@@ -32,13 +32,13 @@
     by_upstream: dict[str, list[Withdrawal]] = {}
     for withdrawal in withdrawals:
         by_upstream.setdefault(withdrawal.upstream_id, []).append(withdrawal)
-    for call in history.of("received"):
+    for call in history.get_events("received"):
         for withdrawal in by_upstream.get(call.who, ()):
             if not withdrawal.from_ns <= call.at_ns < withdrawal.until_ns:
                 continue
             result.operations += 1
-            told_ns = _told_by_ns(history, call.instance, withdrawal.from_ns)
-            if told_ns is not None and call.at_ns > told_ns:
+            informed_ns = _find_informed_ns(history, call.instance, withdrawal.from_ns)
+            if informed_ns is not None and call.at_ns > informed_ns:
                 late_ms = (call.at_ns - withdrawal.from_ns) // 1_000_000
                 caller = call.instance or "an instance"
                 result.add(call.at_ns, f"{call.who}: called by {caller} {late_ms} ms after")
@@ -47,7 +47,7 @@
     return result
 
 
-def _told_by_ns(history: History, instance: str, published_ns: int) -> int | None:
+def _find_informed_ns(history: History, instance: str, published_ns: int) -> int | None:
     if not instance:
         return published_ns + WITHDRAWAL_ALLOWANCE_NS
-    return history.reachability.told_by_ns(instance, published_ns, WITHDRAWAL_ALLOWANCE_NS)
+    return history.reachability.find_informed_ns(instance, published_ns, WITHDRAWAL_ALLOWANCE_NS)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/history.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/history.py
@@ -35,7 +35,7 @@
                     events.append(_DECODER.decode(line))
         return cls(events)
 
-    def of(self, *names: str) -> list[HistoryEvent]:
+    def get_events(self, *names: str) -> list[HistoryEvent]:
         """Return the events of some kinds, in order."""
         if len(names) == 1:
             return self._by_name.get(names[0], [])
@@ -49,37 +49,37 @@
     @cached_property
     def sent_by_request(self) -> dict[str, HistoryEvent]:
         """Return the sending of every request."""
-        return {event.request_id: event for event in self.of("sent")}
+        return {event.request_id: event for event in self.get_events("sent")}
 
     @cached_property
     def answers_by_request(self) -> dict[str, list[HistoryEvent]]:
         """Return what each caller saw of its request."""
-        return _group(self.of("answered"), "request_id")
+        return _group(self.get_events("answered"), "request_id")
 
     @cached_property
     def runs_by_token(self) -> dict[str, list[HistoryEvent]]:
         """Return the finished runs of every operation."""
-        return _group(self.of("ran"), "token")
+        return _group(self.get_events("ran"), "token")
 
     @cached_property
     def starts_by_token(self) -> dict[str, list[HistoryEvent]]:
         """Return the begun runs of every operation."""
-        return _group(self.of("started"), "token")
+        return _group(self.get_events("started"), "token")
 
     @cached_property
     def shard_counts(self) -> dict[tuple[str, int], int]:
         """Return the number of shards of every index version that was published."""
         counts = {}
-        for event in self.of("published"):
+        for event in self.get_events("published"):
             if event.key.startswith(INDEX_PREFIX) and event.value is not None:
                 counts[event.value["service"], event.value["version"]] = len(event.value["shards"])
         return counts
 
     @cached_property
-    def home_of_upstream(self) -> dict[str, str]:
+    def data_centre_by_upstream(self) -> dict[str, str]:
         """Return the data centre of every upstream that was ever listed."""
         homes = {}
-        for event in self.of("published"):
+        for event in self.get_events("published"):
             if event.key.startswith(UPSTREAM_LIST_PREFIX) and event.value is not None:
                 for entry in event.value["upstreams"]:
                     homes[entry["upstream_id"]] = event.value["data_centre"]
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/reachability.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/reachability.py
@@ -10,7 +10,7 @@
 PLATFORM = "platform"
 FOREVER_NS = 1 << 62
 
-_CHANGES = {
+_FAULT_EVENTS = {
     "process_started",
     "process_killed",
     "process_stopped",
@@ -35,53 +35,56 @@
     """
 
     def __init__(self) -> None:
-        self._joined: dict[str, list[tuple[int, int]]] = defaultdict(list)
-        self._away: dict[str, list[tuple[int, int]]] = defaultdict(list)
-        self._lossy: list[tuple[int, int]] = []
+        self._connected: dict[str, list[tuple[int, int]]] = defaultdict(list)
+        self._unavailable: dict[str, list[tuple[int, int]]] = defaultdict(list)
+        self._loss_intervals: list[tuple[int, int]] = []
 
     @classmethod
     def from_events(cls, events: Iterable[HistoryEvent]) -> "Reachability":
         """Replay the faults."""
-        found, state, since_ns = cls(), _Links(), 0
+        found, state, since_ns = cls(), _FaultState(), 0
         for event in events:
-            if event.event not in _CHANGES:
+            if event.event not in _FAULT_EVENTS:
                 continue
-            found._note(state, since_ns, event.at_ns)
+            found._record_interval(state, since_ns, event.at_ns)
             state.apply(event)
             since_ns = event.at_ns
-        found._note(state, since_ns, FOREVER_NS)
+        found._record_interval(state, since_ns, FOREVER_NS)
         return found
 
-    def told_by_ns(self, instance: str, published_ns: int, needed_ns: int) -> int | None:
+    def find_informed_ns(self, instance: str, published_ns: int, duration_ns: int) -> int | None:
         """Return when the instance had been joined for ``needed_ns`` in one piece, or None."""
-        for start_ns, end_ns in self._joined[instance]:
-            told_ns = max(start_ns, published_ns) + needed_ns
-            if told_ns <= end_ns:
-                return told_ns
+        for start_ns, end_ns in self._connected[instance]:
+            informed_ns = max(start_ns, published_ns) + duration_ns
+            if informed_ns <= end_ns:
+                return informed_ns
         return None
 
-    def was_away(self, instance: str, start_ns: int, end_ns: int) -> bool:
+    def was_unavailable(self, instance: str, start_ns: int, end_ns: int) -> bool:
         """Return whether the instance was frozen or not running at any time between."""
         return any(
-            away_ns <= end_ns and back_ns >= start_ns for away_ns, back_ns in self._away[instance]
+            from_ns <= end_ns and to_ns >= start_ns
+            for from_ns, to_ns in self._unavailable[instance]
         )
 
-    def had_losses(self, start_ns: int, end_ns: int) -> bool:
+    def had_message_loss(self, start_ns: int, end_ns: int) -> bool:
         """Return whether any link was cut or lost messages at any time between."""
-        return any(from_ns <= end_ns and to_ns >= start_ns for from_ns, to_ns in self._lossy)
+        return any(
+            from_ns <= end_ns and to_ns >= start_ns for from_ns, to_ns in self._loss_intervals
+        )
 
-    def _note(self, state: "_Links", start_ns: int, end_ns: int) -> None:
-        joined = state.find_joined()
+    def _record_interval(self, state: "_FaultState", start_ns: int, end_ns: int) -> None:
+        connected = state.find_connected()
         if state.cut or state.has_losses:
-            _extend(self._lossy, start_ns, end_ns)
+            _extend(self._loss_intervals, start_ns, end_ns)
         for instance in state.running | state.known:
-            if instance in joined:
-                _extend(self._joined[instance], start_ns, end_ns)
+            if instance in connected:
+                _extend(self._connected[instance], start_ns, end_ns)
             if instance not in state.running or instance in state.frozen:
-                _extend(self._away[instance], start_ns, end_ns)
+                _extend(self._unavailable[instance], start_ns, end_ns)
 
 
-class _Links:
+class _FaultState:
     """Follow who runs and which links are open."""
 
     def __init__(self) -> None:
@@ -89,7 +92,7 @@
         self.known: set[str] = set()
         self.frozen: set[str] = set()
         self.cut: set[tuple[str, str]] = set()
-        self.platform_gives_news = True
+        self.platform_serves_updates = True
         self.has_losses = False
 
     def apply(self, event: HistoryEvent) -> None:
@@ -111,21 +114,21 @@
             case "losses_began" | "losses_ended":
                 self.has_losses = event.event == "losses_began"
             case "platform_down" | "platform_stale":
-                self.platform_gives_news = False
+                self.platform_serves_updates = False
             case "platform_up":
-                self.platform_gives_news = True
+                self.platform_serves_updates = True
 
-    def find_joined(self) -> set[str]:
-        if not self.platform_gives_news:
+    def find_connected(self) -> set[str]:
+        if not self.platform_serves_updates:
             # Some instance may have the news already, but the history cannot tell which.
             return set()
         ends = [*sorted(self.running - self.frozen), PLATFORM]
         graph = networkx.Graph()
         graph.add_nodes_from(ends)
-        for place, one in enumerate(ends):
-            for other in ends[place + 1 :]:
-                if (one, other) not in self.cut and (other, one) not in self.cut:
-                    graph.add_edge(one, other)
+        for index, end in enumerate(ends):
+            for other in ends[index + 1 :]:
+                if (end, other) not in self.cut and (other, end) not in self.cut:
+                    graph.add_edge(end, other)
         return networkx.node_connected_component(graph, PLATFORM) - {PLATFORM}
 
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/recorder.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/recorder.py
@@ -16,7 +16,7 @@
         self._now_ms = now_ms
         self.events: list[HistoryEvent] = []
 
-    def note(self, who: str, event: str, **fields) -> None:
+    def record(self, who: str, event: str, **fields) -> None:
         """Append one event."""
         at_ns = int(self._now_ms() * NS_PER_MS)
         self.events.append(HistoryEvent(at_ns=at_ns, who=who, event=event, **fields))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/violation.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/violation.py
@@ -7,6 +7,6 @@
 class Violation:
     """Say which point was broken, when, and by what."""
 
-    point: str
+    invariant: str
     at_ns: int
     detail: str
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/__main__.py
@@ -17,11 +17,11 @@
 from geraniumlead_standins.soak.fleet import Fleet
 from geraniumlead_standins.soak.layout import Layout
 from geraniumlead_standins.soak.port_block import find_port_block
-from geraniumlead_standins.soak.status_watch import StatusWatch
+from geraniumlead_standins.soak.status_poller import StatusPoller
 
 START_S = 4.0
 SETTLE_S = 4.0
-MOST_SHOWN = 5
+MAX_SHOWN = 5
 
 
 async def soak(
@@ -31,7 +31,7 @@
     documents = layout.write_files(seed)
     fleet = Fleet(layout)
     try:
-        await fleet.start_surroundings()
+        await fleet.start_dependencies()
         for name in layout.instances:
             await fleet.start_instance(name)
         await asyncio.sleep(START_S)
@@ -39,26 +39,28 @@
         callers = SoakCallers(layout, Random(f"{seed}/callers"))
         connector = TCPConnector(limit=0)
         async with ClientSession(connector=connector, timeout=ClientTimeout(total=10)) as session:
-            watch = StatusWatch(layout, fleet, chaos.published)
-            watching = asyncio.create_task(watch.run(session))
+            poller = StatusPoller(layout, fleet, chaos.published)
+            polling = asyncio.create_task(poller.run(session))
             await asyncio.gather(
                 callers.run(session, duration_s + SETTLE_S, rate_per_s),
                 chaos.run(session, duration_s),
             )
-            watching.cancel()
+            polling.cancel()
     finally:
-        await fleet.end_all()
+        await fleet.kill_all()
     return History.from_files(sorted(layout.folder.glob("*.history"))), chaos.counts
 
 
 def print_report(history: History, results: list[CheckResult], counts: dict[str, int]) -> None:
     """Print what was done, what callers saw, and what was broken."""
-    outcomes = Counter(event.outcome for event in history.of("answered"))
+    outcomes = Counter(event.outcome for event in history.get_events("answered"))
     print(f"failures: {counts}")
     print(f"outcomes: {dict(outcomes)}")
     for result in results:
-        print(f"{result.point}: {result.operations} operations, {len(result.violations)} broken")
-        for violation in result.violations[:MOST_SHOWN]:
+        print(
+            f"{result.invariant}: {result.operations} operations, {len(result.violations)} broken"
+        )
+        for violation in result.violations[:MAX_SHOWN]:
             print(f"  {violation.detail}")
 
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/callers.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/callers.py
@@ -13,7 +13,7 @@
 DEADLINE_MS = 1_500.0
 TIMEOUT_S = 3.0
 POLL_S = 1.0
-MOST_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 HEADERS = {"Authorization": f"Bearer {CREDENTIAL}", "Content-Type": "application/json"}
 
 
@@ -34,7 +34,7 @@
         end_s = loop.time() + duration_s
         poll = asyncio.create_task(self._poll(session))
         while loop.time() < end_s:
-            task = asyncio.create_task(self._operate(session))
+            task = asyncio.create_task(self._run_operation(session))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
             await asyncio.sleep(self._random.expovariate(rate_per_s))
@@ -62,7 +62,7 @@
     def _choose(self) -> str:
         return self._random.choice(self._ready or self._layout.instances)
 
-    async def _operate(self, session: ClientSession) -> None:
+    async def _run_operation(self, session: ClientSession) -> None:
         number = next(self._numbers)
         kind = self._random.choice(("lookup", "lookup", "keyed", "booking"))
         body = {
@@ -72,17 +72,17 @@
         if kind != "lookup":
             body["key"] = f"member-{self._random.randrange(50)}"
         if kind == "booking":
-            ticket = await self._ask_ticket(session)
+            ticket = await self._request_ticket(session)
             if ticket is None:
                 return
             body["ticket"] = ticket
-        for attempt in range(1, MOST_ATTEMPTS + 1):
+        for attempt in range(1, MAX_ATTEMPTS + 1):
             outcome = await self._send(session, body, attempt)
             if outcome in ("whole", "partial", "failed", "rejected"):
                 return
             await asyncio.sleep(self._random.uniform(0.01, 0.8))
 
-    async def _ask_ticket(self, session: ClientSession) -> str | None:
+    async def _request_ticket(self, session: ClientSession) -> str | None:
         url = f"http://{self._layout.address_of(self._choose(), 0)}/v1/tickets"
         try:
             async with session.post(
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/chaos.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/chaos.py
@@ -11,7 +11,7 @@
 from geraniumlead_standins.soak.fleet import Fleet
 from geraniumlead_standins.soak.layout import DATA_CENTRES, Layout
 
-FEWEST_S, MOST_S = 2.0, 5.0
+MIN_PAUSE_S, MAX_PAUSE_S = 2.0, 5.0
 COLD_ANSWERS = 20
 
 
@@ -29,7 +29,7 @@
         self.counts: dict[str, int] = {}
         self.published: dict[str, list[int]] = {}
         for number, (key, document) in enumerate(documents.items()):
-            self._note_published(key, number + 1, document)
+            self._record_publication(key, number + 1, document)
 
     async def run(self, session: ClientSession, duration_s: float) -> None:
         """Draw failures until the time is over."""
@@ -46,7 +46,7 @@
             self._straggle,
         )
         while loop.time() < end_s:
-            await asyncio.sleep(self._random.uniform(FEWEST_S, MOST_S))
+            await asyncio.sleep(self._random.uniform(MIN_PAUSE_S, MAX_PAUSE_S))
             chosen = self._random.choice(choices)
             name = chosen.__name__.strip("_")
             self.counts[name] = self.counts.get(name, 0) + 1
@@ -81,9 +81,9 @@
         await self._publish_state(session, name, "in")
 
     async def _move_upstream(self, session: ClientSession) -> None:
-        place = self._random.choice(DATA_CENTRES)
-        leaving = self._random.choice(self._layout.upstream_ids(place))
-        key = f"geraniumlead/upstreams/{place}"
+        data_centre = self._random.choice(DATA_CENTRES)
+        leaving = self._random.choice(self._layout.upstream_ids(data_centre))
+        key = f"geraniumlead/upstreams/{data_centre}"
         serving = to_builtins(self._documents[key])
         entries = [
             entry | {"state": "leaving" if entry["upstream_id"] == leaving else "serving"}
@@ -94,15 +94,15 @@
         await self._publish(session, key, serving)
 
     async def _turn_cold(self, session: ClientSession) -> None:
-        place = self._random.choice(DATA_CENTRES)
-        name = self._random.choice(self._layout.upstream_ids(place))
-        url = f"http://{self._layout.control_of(place)}/faults"
+        data_centre = self._random.choice(DATA_CENTRES)
+        name = self._random.choice(self._layout.upstream_ids(data_centre))
+        url = f"http://{self._layout.control_of(data_centre)}/faults"
         await self._put(session, url, {name: {"cold_answers": COLD_ANSWERS}})
 
     async def _straggle(self, session: ClientSession) -> None:
-        place = self._random.choice(DATA_CENTRES)
-        name = self._random.choice(self._layout.upstream_ids(place))
-        url = f"http://{self._layout.control_of(place)}/faults"
+        data_centre = self._random.choice(DATA_CENTRES)
+        name = self._random.choice(self._layout.upstream_ids(data_centre))
+        url = f"http://{self._layout.control_of(data_centre)}/faults"
         await self._put(session, url, {name: {"slowdown": 40.0}})
         await asyncio.sleep(3.0)
         await self._put(session, url, {name: {"slowdown": 1.0}})
@@ -114,9 +114,9 @@
     async def _publish(self, session: ClientSession, key: str, document: dict) -> None:
         url = f"http://{self._layout.platform}/publish"
         found = await self._put(session, url, {key: document})
-        self._note_published(key, found["revision"], document)
+        self._record_publication(key, found["revision"], document)
 
-    def _note_published(self, key: str, revision: int, document: object) -> None:
+    def _record_publication(self, key: str, revision: int, document: object) -> None:
         self.published.setdefault(key, []).append(revision)
         self._platform.write("published", key=key, revision=revision, value=document)
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/fleet.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/fleet.py
@@ -19,20 +19,22 @@
     def __init__(self, layout: Layout) -> None:
         self._layout = layout
         self.history = HistoryWriter(layout.history_file("faults"), "faults")
-        self._others: list[Process] = []
+        self._dependencies: list[Process] = []
         self._instances: dict[str, Process] = {}
-        self._lives: dict[str, int] = {}
+        self._start_counts: dict[str, int] = {}
         self._frozen: set[str] = set()
 
-    async def start_surroundings(self) -> None:
+    async def start_dependencies(self) -> None:
         """Start the platform and the upstreams."""
         folder = self._layout.folder
         documents = str(folder / "documents.json")
         platform = ("--listen", self._layout.platform, "--documents", documents)
-        self._others.append(await self._start("platform", "platform", *platform))
-        for place in DATA_CENTRES:
-            plan = str(folder / f"upstreams-{place}.json")
-            self._others.append(await self._start(f"up-{place}", "upstream", "--plan", plan))
+        self._dependencies.append(await self._start("platform", "platform", *platform))
+        for data_centre in DATA_CENTRES:
+            plan = str(folder / f"upstreams-{data_centre}.json")
+            self._dependencies.append(
+                await self._start(f"up-{data_centre}", "upstream", "--plan", plan)
+            )
 
     async def start_instance(self, name: str) -> None:
         """Start an instance, or start it anew."""
@@ -40,10 +42,10 @@
         self._instances[name] = await self._run(
             name, "-m", "geraniumlead_server.main", "--settings", settings
         )
-        self._lives[name] = self._lives.get(name, 0) + 1
+        self._start_counts[name] = self._start_counts.get(name, 0) + 1
         # A process that does not listen yet owes no answer: callers see a refused connection.
         await self._wait_until_listening(self._layout.address_of(name, 0))
-        self._note(name, "process_started")
+        self._record(name, "process_started")
 
     async def _wait_until_listening(self, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -57,44 +59,44 @@
                 writer.close()
                 return
 
-    def life_of(self, name: str) -> str:
+    def incarnation_of(self, name: str) -> str:
         """Return which start of an instance is running, as its incarnation."""
-        return str(self._lives.get(name, 0))
+        return str(self._start_counts.get(name, 0))
 
     async def kill(self, name: str) -> None:
         """Kill an instance without notice."""
         self._instances[name].kill()
-        self._note(name, "process_killed")
+        self._record(name, "process_killed")
         await self._instances[name].wait()
 
     async def freeze(self, name: str, duration_s: float) -> None:
         """Stop an instance for a while."""
-        self._note(name, "frozen")
+        self._record(name, "frozen")
         self._instances[name].send_signal(signal.SIGSTOP)
         await asyncio.sleep(duration_s)
         self._instances[name].send_signal(signal.SIGCONT)
-        self._note(name, "thawed")
+        self._record(name, "thawed")
 
     async def stop(self, name: str) -> None:
         """Ask an instance to stop, and wait for its end."""
-        self._note(name, "stop_asked")
+        self._record(name, "stop_asked")
         self._instances[name].terminate()
         try:
             await asyncio.wait_for(self._instances[name].wait(), STOP_TIMEOUT_S)
         except TimeoutError:
             await self.kill(name)
             return
-        self._note(name, "process_stopped")
+        self._record(name, "process_stopped")
 
-    async def end_all(self) -> None:
+    async def kill_all(self) -> None:
         """End what is left."""
-        for process in (*self._instances.values(), *self._others):
+        for process in (*self._instances.values(), *self._dependencies):
             if process.returncode is None:
                 process.kill()
                 await process.wait()
 
-    def _note(self, name: str, event: str) -> None:
-        self.history.write(event, instance=name, incarnation=self.life_of(name))
+    def _record(self, name: str, event: str) -> None:
+        self.history.write(event, instance=name, incarnation=self.incarnation_of(name))
 
     async def _start(self, name: str, module: str, *arguments: str) -> Process:
         return await self._run(name, "-m", f"geraniumlead_standins.{module}", *arguments)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/layout.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/layout.py
@@ -45,7 +45,9 @@
     @property
     def instances(self) -> list[str]:
         """Return the names of all instances."""
-        return [f"{place}-{number}" for place in DATA_CENTRES for number in range(INSTANCES)]
+        return [
+            f"{data_centre}-{number}" for data_centre in DATA_CENTRES for number in range(INSTANCES)
+        ]
 
     def address_of(self, instance: str, role: int) -> str:
         """Return an instance's address for callers (0), operators (1) or peers (2)."""
@@ -69,9 +71,9 @@
         (self.folder / "documents.json").write_bytes(encode(documents))
         for name in self.instances:
             (self.folder / f"{name}.json").write_bytes(encode(self._settings(name)))
-        for place in DATA_CENTRES:
-            plan = self._plan(place, seed)
-            (self.folder / f"upstreams-{place}.json").write_bytes(encode(plan))
+        for data_centre in DATA_CENTRES:
+            plan = self._plan(data_centre, seed)
+            (self.folder / f"upstreams-{data_centre}.json").write_bytes(encode(plan))
         return documents
 
     def _upstream_address(self, data_centre: str, number: int) -> str:
@@ -104,15 +106,15 @@
             ],
         )
         documents: list = [contract, self._index()]
-        for place in DATA_CENTRES:
-            documents.append(DataCentreDocument(name=place, region=place))
-            documents.append(self._upstream_list(place))
+        for data_centre in DATA_CENTRES:
+            documents.append(DataCentreDocument(name=data_centre, region=data_centre))
+            documents.append(self._upstream_list(data_centre))
             entries = [
                 InstanceEntry(instance_id=name, peer_address=self.address_of(name, 2))
                 for name in self.instances
-                if name.startswith(place)
+                if name.startswith(data_centre)
             ]
-            documents.append(InstanceListDocument(data_centre=place, instances=entries))
+            documents.append(InstanceListDocument(data_centre=data_centre, instances=entries))
         return documents
 
     def _index(self) -> IndexDocument:
@@ -120,8 +122,8 @@
             ShardEntry(
                 shard=shard,
                 replicas=[
-                    self.upstream_ids(place)[shard + copy * SHARDS]
-                    for place in DATA_CENTRES
+                    self.upstream_ids(data_centre)[shard + copy * SHARDS]
+                    for data_centre in DATA_CENTRES
                     for copy in range(REPLICAS)
                 ],
             )
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/status_watch.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/status_poller.py
@@ -11,7 +11,7 @@
 POLL_S = 0.5
 
 
-class StatusWatch:
+class StatusPoller:
     """Poll the operators' status page of every instance.
 
     The page names one revision; a document counts as in force at its newest revision up to
@@ -30,21 +30,21 @@
     async def run(self, session: ClientSession) -> None:
         """Poll until cancelled."""
         while True:
-            await asyncio.gather(*(self._look(session, name) for name in self._histories))
+            await asyncio.gather(*(self._poll_status(session, name) for name in self._histories))
             await asyncio.sleep(POLL_S)
 
-    async def _look(self, session: ClientSession, name: str) -> None:
-        life = self._fleet.life_of(name)
+    async def _poll_status(self, session: ClientSession, name: str) -> None:
+        incarnation = self._fleet.incarnation_of(name)
         url = f"http://{self._layout.address_of(name, 1)}/v1/status"
         try:
             async with session.get(url, timeout=ClientTimeout(total=2.0)) as response:
                 revision = (await response.json(content_type=None))["revision"]
         except (ClientError, TimeoutError, OSError, KeyError):
             return
-        if life != self._fleet.life_of(name) or not revision:
+        if incarnation != self._fleet.incarnation_of(name) or not revision:
             return
         revisions = {
             key: max((found for found in known if found <= revision), default=0)
             for key, known in self._published.items()
         }
-        self._histories[name].write("in_force", incarnation=life, revisions=revisions)
+        self._histories[name].write("in_force", incarnation=incarnation, revisions=revisions)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_link.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_link.py
@@ -26,9 +26,9 @@
 
     def cut_between(self, group: set[str], others: set[str]) -> None:
         """Cut both directions between two groups of ends."""
-        for one in group:
+        for member in group:
             for other in others:
-                self.cut |= {(one, other), (other, one)}
+                self.cut |= {(member, other), (other, member)}
 
     def heal(self) -> None:
         """Remove all cuts."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_platform.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_platform.py
@@ -37,6 +37,10 @@
 
     def read(self) -> tuple[int, tuple[VersionedValue, ...]]:
         """Return the revision and live documents that a reader sees now."""
-        seen = self.check()
-        newest = {change.key: change for change in self._changes if change.revision <= seen}
-        return seen, tuple(change for change in newest.values() if change.value is not None)
+        visible_revision = self.check()
+        newest = {
+            change.key: change for change in self._changes if change.revision <= visible_revision
+        }
+        return visible_revision, tuple(
+            change for change in newest.values() if change.value is not None
+        )
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_upstream.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_upstream.py
@@ -22,14 +22,14 @@
 )
 from geraniumlead_standins.virtual.event_queue import EventQueue
 
-CRASHED_MS = 2_000.0
-LONG_TEXT = b"long job"
-LONG_FACTOR = 50.0
+DOWN_AFTER_CRASH_MS = 2_000.0
+LONG_QUERY_TEXT = b"long job"
+LONG_QUERY_FACTOR = 50.0
 """A query with this text runs so many times longer than the others."""
 
-QUEUED_PER_SLOT = 8
+MAX_QUEUED_PER_SLOT = 8
 
-Answer = Callable[[UpstreamAnswer], None]
+AnswerCallback = Callable[[UpstreamAnswer], None]
 
 
 def read_token(query: bytes) -> str:
@@ -42,11 +42,11 @@
 
 
 @dataclass(slots=True)
-class Running:
+class AcceptedCall:
     """Remember one call in the upstream."""
 
     subquery: Subquery
-    answer: Answer
+    answer: AnswerCallback
     caller: str = ""
     is_cancelled: bool = False
 
@@ -82,30 +82,32 @@
     down_until_ms: float = 0.0
     fallen: int = 0
     crashes: int = 0
-    most_while_cold: int = 0
+    max_calls_while_cold: int = 0
     received: int = 0
     restarts: int = 0
     on_disconnect: Callable[[], None] = lambda: None
     log: Callable[..., None] = lambda **line: None
-    _running: list[Running] = field(default_factory=list)
-    _waiting: deque[Running] = field(default_factory=deque)
+    _running: list[AcceptedCall] = field(default_factory=list)
+    _waiting: deque[AcceptedCall] = field(default_factory=deque)
 
-    def receive(self, subquery: Subquery, answer: Answer, caller: str = "") -> Running | None:
+    def receive(
+        self, subquery: Subquery, answer: AnswerCallback, caller: str = ""
+    ) -> AcceptedCall | None:
         """Take a call; ``answer`` is called once, later, unless the upstream is silent."""
         self.received += 1
         if self.queue.now_ms < self.down_until_ms:
             answer(NotReached("connection refused"))
             return None
-        call = Running(subquery, answer, caller)
-        self._note("received", call)
-        refusal = self._refuse(subquery)
+        call = AcceptedCall(subquery, answer, caller)
+        self._log_call("received", call)
+        refusal = self._find_refusal(subquery)
         if refusal is not None:
-            self._note("ended", call)
+            self._log_call("ended", call)
             answer(refusal)
             return None
         if self.cold_answers_left > 0:
             at_once = len(self._running) + len(self._waiting) + 1
-            self.most_while_cold = max(self.most_while_cold, at_once)
+            self.max_calls_while_cold = max(self.max_calls_while_cold, at_once)
             if at_once > self.cold_allowance:
                 self.fallen += 1
                 self._go_down("fell_over", call)
@@ -118,20 +120,20 @@
         self._start_waiting()
         return call
 
-    def cancel(self, call: Running) -> None:
+    def cancel(self, call: AcceptedCall) -> None:
         """Give up a call: a waiting one never runs, a running one frees its slot."""
         call.is_cancelled = True
         if call in self._waiting:
             self._waiting.remove(call)
-            self._note("ended", call)
+            self._log_call("ended", call)
         elif call in self._running:
             self._running.remove(call)
-            self._note("ended", call)
+            self._log_call("ended", call)
             self._start_waiting()
 
     def restart(self, cold_answers: int) -> None:
         """Lose all calls and come back cold."""
-        self._lose_all()
+        self._drop_all_calls()
         self.turn_cold(cold_answers)
 
     def turn_cold(self, cold_answers: int, reason: str = "") -> None:
@@ -139,12 +141,12 @@
         self.cold_answers_left = cold_answers
         self.log(event="turned_cold", allowance=self.cold_allowance, reason=reason)
 
-    def _refuse(self, subquery: Subquery) -> UpstreamAnswer | None:
+    def _find_refusal(self, subquery: Subquery) -> UpstreamAnswer | None:
         if self.is_draining:
             return Draining()
         if self._version_for(subquery) is None:
             return WrongVersion(tuple(sorted(self.holds)))
-        if len(self._waiting) >= self.slots * QUEUED_PER_SLOT:
+        if len(self._waiting) >= self.slots * MAX_QUEUED_PER_SLOT:
             return Cold() if self.cold_answers_left else Shed(20.0)
         return None
 
@@ -152,15 +154,15 @@
         while self._waiting and len(self._running) < self.slots:
             call = self._waiting.popleft()
             self._running.append(call)
-            self._note("started", call)
+            self._log_call("started", call)
             drawn_ms = self.random.lognormvariate(math.log(self.median_ms), self.sigma)
-            if LONG_TEXT in call.subquery.query:
-                drawn_ms *= LONG_FACTOR
+            if LONG_QUERY_TEXT in call.subquery.query:
+                drawn_ms *= LONG_QUERY_FACTOR
             self.queue.add(
                 self.queue.now_ms + drawn_ms * self.slowdown, lambda call=call: self._finish(call)
             )
 
-    def _finish(self, call: Running) -> None:
+    def _finish(self, call: AcceptedCall) -> None:
         if call not in self._running:
             return
         self._running.remove(call)
@@ -169,8 +171,8 @@
         if was_cold and not self.cold_answers_left:
             self.log(event="turned_warm")
         records = self._build_records(call.subquery, was_cold)
-        self._note("ran", call, records.index_version, self.records_per_shard)
-        self._note("ended", call)
+        self._log_call("ran", call, records.index_version, self.records_per_shard)
+        self._log_call("ended", call)
         if not self.is_silent:
             call.answer(records)
         self._start_waiting()
@@ -191,8 +193,8 @@
         }
         return Records(version, subquery.shard, encode([record] * self.records_per_shard), was_cold)
 
-    def _note(
-        self, event: str, call: Running, version: int | None = None, record_count: int = 0
+    def _log_call(
+        self, event: str, call: AcceptedCall, version: int | None = None, record_count: int = 0
     ) -> None:
         subquery = call.subquery
         self.log(
@@ -206,21 +208,21 @@
             record_count=record_count,
         )
 
-    def _go_down(self, event: str, last: Running) -> None:
-        self._note(event, last)
-        self._note("ended", last)
-        self.down_until_ms = self.queue.now_ms + CRASHED_MS
+    def _go_down(self, event: str, last: AcceptedCall) -> None:
+        self._log_call(event, last)
+        self._log_call("ended", last)
+        self.down_until_ms = self.queue.now_ms + DOWN_AFTER_CRASH_MS
         last.answer(ConnectionLost(event))
-        self._lose_all()
+        self._drop_all_calls()
         if event == "crashed" and self.cold_after_crash:
             self.turn_cold(self.cold_after_crash)
 
-    def _lose_all(self) -> None:
+    def _drop_all_calls(self) -> None:
         self.restarts += 1
         self.on_disconnect()
         lost = [*self._running, *self._waiting]
         self._running.clear()
         self._waiting.clear()
         for call in lost:
-            self._note("ended", call)
+            self._log_call("ended", call)
             call.answer(ConnectionLost("reset"))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/small_cluster.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/small_cluster.py
@@ -58,8 +58,8 @@
     ) -> "SmallCluster":
         """Publish the documents, and start upstreams and instances, in ``run`` if given."""
         run = run or VirtualRun(seed)
-        run.publish({key: encode(value) for key, value in _documents(size, contract).items()})
-        for entry, shard in _upstreams(size):
+        run.publish({key: encode(value) for key, value in _build_documents(size, contract).items()})
+        for entry, shard in _list_upstreams(size):
             run.add_upstream(
                 entry.address,
                 entry.upstream_id,
@@ -68,7 +68,8 @@
                 holds={1: {shard}},
             )
         settings = {
-            name: _settings(name, data_centre, timing) for name, data_centre in _names(size)
+            name: _build_settings(name, data_centre, timing)
+            for name, data_centre in _list_instances(size)
         }
         for item in settings.values():
             run.start_instance(item)
@@ -92,7 +93,7 @@
     )
 
 
-def _names(size: ClusterSize) -> list[tuple[str, str]]:
+def _list_instances(size: ClusterSize) -> list[tuple[str, str]]:
     return [
         (f"{data_centre}-{number}", data_centre)
         for data_centre in size.data_centres
@@ -100,7 +101,7 @@
     ]
 
 
-def _settings(name: str, data_centre: str, timing: TimingSettings | None) -> InstanceSettings:
+def _build_settings(name: str, data_centre: str, timing: TimingSettings | None) -> InstanceSettings:
     return InstanceSettings(
         instance_id=name,
         data_centre=data_centre,
@@ -110,34 +111,34 @@
     )
 
 
-def _upstreams(size: ClusterSize) -> list[tuple[UpstreamEntry, int]]:
-    found = []
-    for place, data_centre in enumerate(size.data_centres):
+def _list_upstreams(size: ClusterSize) -> list[tuple[UpstreamEntry, int]]:
+    listed = []
+    for centre_number, data_centre in enumerate(size.data_centres):
         for number in range(size.shards * size.replicas):
             entry = UpstreamEntry(
                 upstream_id=f"{SERVICE}-{data_centre}-{number}",
                 service=SERVICE,
-                address=f"10.0.{place}.1:{20_000 + number}",
+                address=f"10.0.{centre_number}.1:{20_000 + number}",
                 slots=size.slots,
                 connections=size.connections,
             )
-            found.append((entry, number % size.shards))
-    return found
+            listed.append((entry, number % size.shards))
+    return listed
 
 
-def _documents(size: ClusterSize, contract: ContractDocument | None) -> dict[str, object]:
+def _build_documents(size: ClusterSize, contract: ContractDocument | None) -> dict[str, object]:
     contract = contract or default_contract()
     documents: dict[str, object] = {
         document_key(DocumentKind.CONTRACT, contract.customer): contract
     }
-    placed = _upstreams(size)
+    upstreams = _list_upstreams(size)
     for data_centre in size.data_centres:
         prefix = f"{SERVICE}-{data_centre}-"
-        entries = [entry for entry, _ in placed if entry.upstream_id.startswith(prefix)]
+        entries = [entry for entry, _ in upstreams if entry.upstream_id.startswith(prefix)]
         instances = [
             InstanceEntry(instance_id=name, peer_address="10.0.0.1:1")
-            for name, home in _names(size)
-            if home == data_centre
+            for name, centre in _list_instances(size)
+            if centre == data_centre
         ]
         documents[document_key(DocumentKind.DATA_CENTRE, data_centre)] = DataCentreDocument(
             name=data_centre, region=data_centre
@@ -154,14 +155,14 @@
 
 def build_index(size: ClusterSize, version: int) -> IndexDocument:
     """Return an index version that every data centre holds whole."""
-    placed = _upstreams(size)
+    upstreams = _list_upstreams(size)
     return IndexDocument(
         service=SERVICE,
         version=version,
         shards=[
             ShardEntry(
                 shard=shard,
-                replicas=[entry.upstream_id for entry, held in placed if held == shard],
+                replicas=[entry.upstream_id for entry, held in upstreams if held == shard],
             )
             for shard in range(size.shards)
         ],
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/virtual_instance.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/virtual_instance.py
@@ -17,5 +17,5 @@
     is_watching: bool = False
     watch_number: int = 0
     seen_revision: int = 0
-    held_back: deque[Event] = field(default_factory=deque)
+    pending_events: deque[Event] = field(default_factory=deque)
     wake_ms: float = float("inf")
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/virtual_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/virtual_run.py
@@ -29,7 +29,7 @@
 from geraniumlead_standins.virtual.event_queue import EventQueue
 from geraniumlead_standins.virtual.fake_link import FakeLink
 from geraniumlead_standins.virtual.fake_platform import FakePlatform
-from geraniumlead_standins.virtual.fake_upstream import FakeUpstream, Running
+from geraniumlead_standins.virtual.fake_upstream import AcceptedCall, FakeUpstream
 from geraniumlead_standins.virtual.virtual_instance import VirtualInstance
 
 PLATFORM = "platform"
@@ -60,7 +60,7 @@
         self.on_reply: Callable[[str, CallUpstream, UpstreamAnswer], None] = (
             lambda name, action, answer: None
         )
-        self._calls: dict[tuple[str, str], tuple[FakeUpstream, Running | None]] = {}
+        self._calls: dict[tuple[str, str], tuple[FakeUpstream, AcceptedCall | None]] = {}
 
     @property
     def now_ms(self) -> float:
@@ -80,7 +80,7 @@
         name = settings.instance_id
         instance = Instance(settings, Random(self.random.random()), self.now_ms)
         self.instances[name] = VirtualInstance(instance)
-        self._carry_out(name, instance.start(self.now_ms))
+        self._execute(name, instance.start(self.now_ms))
         self.deliver(name, TimerFired())
         return instance
 
@@ -102,7 +102,7 @@
                 delay_ms += self.platform.delay_ms
                 self.queue.add(self.now_ms + delay_ms, lambda n=name, e=event: self.deliver(n, e))
 
-    def read_platform_again(self) -> None:
+    def restart_watches(self) -> None:
         """Let every watcher read anew, as after a restart of the platform."""
         for name, host in list(self.instances.items()):
             if host.is_alive and host.is_watching:
@@ -125,8 +125,8 @@
         """Let a frozen process go on with what arrived meanwhile."""
         host = self.instances[name]
         host.is_frozen = False
-        while host.held_back:
-            self.deliver(name, host.held_back.popleft())
+        while host.pending_events:
+            self.deliver(name, host.pending_events.popleft())
         self.deliver(name, TimerFired())
 
     def deliver(self, name: str, event: Event) -> None:
@@ -135,12 +135,12 @@
         if host is None or not host.is_alive:
             return
         if host.is_frozen:
-            host.held_back.append(event)
+            host.pending_events.append(event)
             return
-        self._carry_out(name, host.instance.handle(event, self.now_ms))
-        self._arm(name, host)
+        self._execute(name, host.instance.handle(event, self.now_ms))
+        self._schedule_wakeup(name, host)
 
-    def _arm(self, name: str, host: VirtualInstance) -> None:
+    def _schedule_wakeup(self, name: str, host: VirtualInstance) -> None:
         wake_ms = host.instance.next_wake_ms()
         if wake_ms == host.wake_ms:
             return
@@ -154,7 +154,7 @@
 
         self.queue.add(wake_ms, wake)
 
-    def _carry_out(self, name: str, actions: list[Action]) -> None:
+    def _execute(self, name: str, actions: list[Action]) -> None:
         for action in actions:
             self.on_action(name, action, self.now_ms)
             match action:
@@ -186,21 +186,23 @@
         delay_ms = self.link.draw_delay_ms(name, upstream.upstream_id)
         if delay_ms is not None:
             self.queue.add(
-                self.now_ms + delay_ms, lambda: self._arrive(name, action, upstream, restarts)
+                self.now_ms + delay_ms, lambda: self._deliver_call(name, action, upstream, restarts)
             )
 
     def _disconnect(self, upstream: FakeUpstream) -> None:
-        users = [name for name, used in self._connections if used == upstream.upstream_id]
-        for name in users:
+        callers = [name for name, used in self._connections if used == upstream.upstream_id]
+        for name in callers:
             delay_ms = self.link.draw_delay_ms(upstream.upstream_id, name)
             if delay_ms is not None:
-                self.queue.add(self.now_ms + delay_ms, lambda n=name: self._hang_up(n, upstream))
+                self.queue.add(
+                    self.now_ms + delay_ms, lambda n=name: self._notify_disconnected(n, upstream)
+                )
 
-    def _hang_up(self, name: str, upstream: FakeUpstream) -> None:
+    def _notify_disconnected(self, name: str, upstream: FakeUpstream) -> None:
         self._connections.pop((name, upstream.upstream_id), None)
         self.deliver(name, UpstreamDisconnected(upstream.upstream_id))
 
-    def _arrive(
+    def _deliver_call(
         self, name: str, action: CallUpstream, upstream: FakeUpstream, restarts: int
     ) -> None:
         if (name, action.call_id) not in self._calls:
@@ -262,8 +264,8 @@
             self.deliver(name, PlatformReadFailed("no answer"))
             if not action.watch:
                 return
-            again_ms = self.now_ms + PLATFORM_RETRY_MS
-            self.queue.add(again_ms, lambda: self._answer_read(name, host, number, action))
+            retry_ms = self.now_ms + PLATFORM_RETRY_MS
+            self.queue.add(retry_ms, lambda: self._answer_read(name, host, number, action))
             return
         revision, documents = self.platform.read()
         host.is_watching = action.watch
--- a/packages/geraniumlead-standins/tests/standins_tests/builders.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/builders.py
@@ -5,7 +5,7 @@
 NS_PER_MS = 1_000_000
 
 
-def at(time_ms: float, who: str, event: str, **fields) -> HistoryEvent:
+def event_at(time_ms: float, who: str, event: str, **fields) -> HistoryEvent:
     """Return one event."""
     return HistoryEvent(at_ns=int(time_ms * NS_PER_MS), who=who, event=event, **fields)
 
@@ -14,7 +14,7 @@
     """Return the publication of an index version."""
     value = {"service": "ledger", "version": version, "shards": [{}] * shards}
     key = f"geraniumlead/indexes/ledger/{version}"
-    return at(time_ms, "platform", "published", key=key, revision=version, value=value)
+    return event_at(time_ms, "platform", "published", key=key, revision=version, value=value)
 
 
 def publish_upstreams(
@@ -25,25 +25,25 @@
     entries = [{"upstream_id": name, "state": state} for name, state in states.items()]
     value = {"data_centre": "noord", "upstreams": entries}
     key = "geraniumlead/upstreams/noord"
-    return at(time_ms, "platform", "published", key=key, revision=revision, value=value)
+    return event_at(time_ms, "platform", "published", key=key, revision=revision, value=value)
 
 
 def publish_data_centre(time_ms: float, state: str, revision: int = 20) -> HistoryEvent:
     """Return the publication of noord's state."""
     value = {"name": "noord", "state": state}
     key = "geraniumlead/data-centres/noord"
-    return at(time_ms, "platform", "published", key=key, revision=revision, value=value)
+    return event_at(time_ms, "platform", "published", key=key, revision=revision, value=value)
 
 
 def start_process(time_ms: float = 0.0, instance: str = "a") -> HistoryEvent:
     """Return the start of an instance's process."""
-    return at(time_ms, "faults", "process_started", instance=instance, incarnation="i1")
+    return event_at(time_ms, "faults", "process_started", instance=instance, incarnation="i1")
 
 
 def send(time_ms: float = 10.0, request_id: str = "r1", **changes) -> HistoryEvent:
     """Return the sending of a request to instance a."""
     values = {"token": "t1", "instance": "a", "service": "ledger", "deadline_ms": 100.0}
-    return at(time_ms, "caller", "sent", request_id=request_id, **(values | changes))
+    return event_at(time_ms, "caller", "sent", request_id=request_id, **(values | changes))
 
 
 def run_shard(time_ms: float, shard: int, **changes) -> list[HistoryEvent]:
@@ -52,8 +52,8 @@
     values |= changes
     who = f"u{shard}"
     return [
-        at(time_ms, who, "started", **values),
-        at(time_ms + 1, who, "ran", record_count=1, **values),
+        event_at(time_ms, who, "started", **values),
+        event_at(time_ms + 1, who, "ran", record_count=1, **values),
     ]
 
 
@@ -67,7 +67,7 @@
         "answered": len(shards),
         "records": tuple(RecordSeen(shard, 1, "t1") for shard in shards),
     }
-    return at(time_ms, "caller", "answered", **(values | changes))
+    return event_at(time_ms, "caller", "answered", **(values | changes))
 
 
 def build_served_history(*changes: HistoryEvent) -> History:
--- a/packages/geraniumlead-standins/tests/standins_tests/histories/test_scenarios.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/histories/test_scenarios.py
@@ -5,12 +5,12 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
+from geraniumlead_standins.histories.ablations import ABLATIONS
 from geraniumlead_standins.histories.failures import FAILURES
-from geraniumlead_standins.histories.plain_variants import PLAIN_VARIANTS
 from geraniumlead_standins.histories.scenario import Scenario
 from geraniumlead_standins.history.checks import CHECKS, check_all
 
-PROVOKING = {
+PROVOKING_SCENARIOS = {
     "one snapshot": (1, "newest answered"),
     "true coverage": (1, "messages lost"),
     "cold load": (1, "centre returns cold"),
@@ -24,20 +24,22 @@
 }
 
 
-def find_broken(scenario: Scenario) -> list[str]:
+def find_violations(scenario: Scenario) -> list[str]:
     results = check_all(scenario.run())
-    return [f"{found.point}: {found.detail}" for result in results for found in result.violations]
+    return [
+        f"{found.invariant}: {found.detail}" for result in results for found in result.violations
+    ]
 
 
 class SafeguardTests(TestCase):
     def test_each_check_fails_without_its_safeguard_and_passes_with_it(self):
-        for point, (seed, failure) in PROVOKING.items():
+        for invariant, (seed, failure) in PROVOKING_SCENARIOS.items():
             scenario = Scenario(seed, (failure,))
-            with PLAIN_VARIANTS[point]():
-                plain = CHECKS[point](scenario.run())
-            shipped = CHECKS[point](scenario.run())
-            with self.subTest(point=point):
-                self.assertNotEqual([], plain.violations)
+            with ABLATIONS[invariant]():
+                ablated = CHECKS[invariant](scenario.run())
+            shipped = CHECKS[invariant](scenario.run())
+            with self.subTest(invariant=invariant):
+                self.assertNotEqual([], ablated.violations)
                 self.assertEqual([], shipped.violations)
 
 
@@ -53,8 +55,8 @@
         st.integers(min_value=1, max_value=1_000_000),
         st.lists(st.sampled_from(sorted(FAILURES)), min_size=1, max_size=3),
     )
-    def test_no_promise_is_broken_by_failures_together(self, seed: int, failures: list[str]):
-        self.assertEqual([], find_broken(Scenario(seed, tuple(failures))))
+    def test_no_invariant_is_violated_by_combined_failures(self, seed: int, failures: list[str]):
+        self.assertEqual([], find_violations(Scenario(seed, tuple(failures))))
 
     def test_same_seed_gives_the_same_history(self):
         scenario = Scenario(7, ("kills twice",))
@@ -72,4 +74,4 @@
             (65133, "upstream returns cold"),
         ):
             with self.subTest(seed=seed, failure=failure):
-                self.assertEqual([], find_broken(Scenario(seed, (failure,))))
+                self.assertEqual([], find_violations(Scenario(seed, (failure,))))
--- a/packages/geraniumlead-standins/tests/standins_tests/history/checks/test_answers.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/history/checks/test_answers.py
@@ -6,8 +6,8 @@
 from geraniumlead_standins.history.checks import CHECKS
 from standins_tests.builders import (
     answer,
-    at,
     build_served_history,
+    event_at,
     publish_index,
     run_shard,
     send,
@@ -15,8 +15,8 @@
 )
 
 
-def count(point: str, history: History) -> tuple[int, int]:
-    result = CHECKS[point](history)
+def count(invariant: str, history: History) -> tuple[int, int]:
+    result = CHECKS[invariant](history)
     return result.operations, len(result.violations)
 
 
@@ -39,12 +39,12 @@
         self.assertEqual((1, 0), count("true coverage", build_served_history(partial)))
 
     def test_a_reply_that_came_just_before_the_answer_may_be_missing(self):
-        reply = at(19.0, "a", "reply_arrived", request_id="r1", index_version=1, shard=0)
+        reply = event_at(19.0, "a", "reply_arrived", request_id="r1", index_version=1, shard=0)
         partial = answer(shards=(1,), outcome="partial", missing=(0,))
         self.assertEqual((1, 0), count("true coverage", build_served_history(reply, partial)))
 
     def test_an_early_reply_that_is_called_missing_is_caught(self):
-        reply = at(15.0, "a", "reply_arrived", request_id="r1", index_version=1, shard=0)
+        reply = event_at(15.0, "a", "reply_arrived", request_id="r1", index_version=1, shard=0)
         partial = answer(100.0, shards=(1,), outcome="partial", missing=(0,))
         self.assertEqual((1, 1), count("true coverage", build_served_history(reply, partial)))
 
@@ -58,13 +58,13 @@
         self.assertEqual((1, 1), count("true coverage", History(events)))
 
     def test_a_shard_with_too_few_records_is_caught(self):
-        more = at(13.5, "u0", "ran", token="t1", index_version=1, shard=0, record_count=2)
+        more = event_at(13.5, "u0", "ran", token="t1", index_version=1, shard=0, record_count=2)
         events = [publish_index(), start_process(), send(), more, *run_shard(12.0, 1), answer()]
         self.assertEqual((1, 1), count("true coverage", History(events)))
 
 
 class OwnAnswerTests(TestCase):
-    later = at(5_000.0, "caller", "end")
+    later = event_at(5_000.0, "caller", "end")
 
     def test_a_late_but_single_own_answer_is_let_through(self):
         history = build_served_history(answer(550.0), self.later)
@@ -82,7 +82,7 @@
         self.assertEqual((1, 1), count("own answer", history))
 
     def test_an_answer_lost_with_a_killed_instance_is_let_through(self):
-        killed = at(15.0, "faults", "process_killed", instance="a", incarnation="i1")
+        killed = event_at(15.0, "faults", "process_killed", instance="a", incarnation="i1")
         lost = answer(15.0, shards=(), outcome="lost")
         history = build_served_history(killed, lost, self.later)
         self.assertEqual((1, 0), count("own answer", history))
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/builders.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/builders.py
@@ -14,7 +14,7 @@
 SETTLED_MS = 4_000.0
 """Time after which the slots of upstreams in cold start may be used, and some more."""
 
-PROVING_QUERIES = 4
+WARM_UP_QUERIES = 4
 
 
 @dataclass(slots=True)
@@ -48,7 +48,7 @@
     def settle(self) -> None:
         """Let the cluster start, and prove its upstreams warm to every instance."""
         self.run_for(SETTLED_MS)
-        for number in range(PROVING_QUERIES):
+        for number in range(WARM_UP_QUERIES):
             for name in self.run.instances:
                 self.ask(name, f"proof-{name}-{number}")
             self.run_for(200.0)
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_large_documents.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_large_documents.py
@@ -12,7 +12,7 @@
 from standins_tests.membership.builders import SETTLED_MS, RecordedCluster
 
 SIZE = ClusterSize(instances=60, shards=1)
-MOST_COPIES = 10
+MAX_COPIES = 10
 
 
 def build_large_list() -> bytes:
@@ -51,5 +51,5 @@
         recorded.run.publish({"geraniumlead/upstreams/elsewhere": value})
         recorded.run_for(1_500.0)
         self.assertEqual({recorded.run.platform.revision}, recorded.revisions())
-        self.assertLessEqual(max(copies.values()), MOST_COPIES)
+        self.assertLessEqual(max(copies.values()), MAX_COPIES)
         self.assertLessEqual(sum(copies.values()), 2 * SIZE.instances)
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_leaving.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_leaving.py
@@ -50,12 +50,12 @@
         out_ms = recorded.run.now_ms
         recorded.set_data_centre("noord", "out")
         ask_everywhere(recorded, "out", 3)
-        late = [
+        late_calls = [
             call
             for call in recorded.calls
             if call[0] > out_ms + 100 and call[2].startswith("10.0.0.")
         ]
-        self.assertEqual([], late)
+        self.assertEqual([], late_calls)
         self.assertFalse(recorded.instance("noord-0").parts.is_ready)
         self.assertTrue(recorded.instance("zuid-0").parts.is_ready)
         recorded.set_data_centre("noord", "in")
@@ -70,7 +70,7 @@
         for outcome in recorded.outcomes.values():
             self.assertIsInstance(outcome, Answered)
 
-    def test_cut_off_from_everything_it_serves_on_with_what_it_has(self):
+    def test_isolated_data_centre_keeps_serving_with_its_last_view(self):
         recorded = build_settled()
         noord = {name for name in recorded.run.instances if name.startswith("noord")}
         zuid = {name for name in recorded.run.instances if name not in noord}
@@ -211,7 +211,7 @@
 
 
 class LostOwnerTests(TestCase):
-    def test_work_of_a_killed_owner_is_sent_again_through_another(self):
+    def test_work_of_a_killed_owner_is_retried_through_another(self):
         """An owner is killed while it runs a peer's slow subqueries; no hedge is possible.
 
         Each shard has one replica, so only another owner of the same upstream can help. The
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_pause.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_pause.py
@@ -39,8 +39,8 @@
         reads the request before the news. Without the hold it calls upstreams of the data
         centre seconds after they were taken out.
         """
-        plain = freeze_while_noord_is_taken_out(SAFEGUARD_OFF)
-        self.assertGreater(calls_to_noord(plain), 0)
+        unguarded = freeze_while_noord_is_taken_out(SAFEGUARD_OFF)
+        self.assertGreater(calls_to_noord(unguarded), 0)
         guarded = freeze_while_noord_is_taken_out(None)
         self.assertEqual(0, calls_to_noord(guarded))
         self.assertIsInstance(guarded.outcomes["r1"], Answered)
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_strangers.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_unlisted_senders.py
@@ -9,7 +9,7 @@
 from standins_tests.membership.builders import SETTLED_MS, RecordedCluster
 
 
-class StrangerTests(TestCase):
+class UnlistedSenderTests(TestCase):
     def test_an_unlisted_sender_gets_no_work_done(self):
         """An instance was replaced, and its old process, cut off till now, sends subqueries.
 
--- a/packages/geraniumlead-standins/tests/standins_tests/soak/test_short_soak.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/soak/test_short_soak.py
@@ -13,11 +13,11 @@
 SEED = 3
 DURATION_S = 8.0
 RATE_PER_S = 20.0
-UNTIMED_POINTS = ("one snapshot", "true coverage", "not run", "at most once")
+UNTIMED_INVARIANTS = ("one snapshot", "true coverage", "not run", "at most once")
 
 
 class ShortSoakTests(TestCase):
-    def test_untimed_promises_hold_under_random_failures(self):
+    def test_untimed_invariants_hold_under_random_failures(self):
         """Processes are killed, frozen and stopped while callers look up and book.
 
         What each caller saw and what each upstream ran must fit together afterwards.
@@ -25,7 +25,7 @@
         with TemporaryDirectory() as folder:
             layout = Layout(Path(folder), find_port_block())
             history, _ = asyncio.run(soak(layout, SEED, DURATION_S, RATE_PER_S))
-        self.assertTrue(any(found.outcome == "whole" for found in history.of("answered")))
-        for point in UNTIMED_POINTS:
-            with self.subTest(point=point):
-                self.assertEqual([], CHECKS[point](history).violations)
+        self.assertTrue(any(found.outcome == "whole" for found in history.get_events("answered")))
+        for invariant in UNTIMED_INVARIANTS:
+            with self.subTest(invariant=invariant):
+                self.assertEqual([], CHECKS[invariant](history).violations)
--- a/packages/geraniumlead-standins/tests/standins_tests/virtual/test_cold_data_centre.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/virtual/test_cold_data_centre.py
@@ -78,8 +78,8 @@
                 self.assertEqual(cold_run.sent, len(cold_run.outcomes))
                 left = [found.cold_answers_left for found in cold_run.run.upstreams.values()]
                 self.assertEqual(0, sum(left), "every upstream got warm")
-                late = cold_run.outcomes[-100:]
-                self.assertTrue(all(isinstance(outcome, Answered) for outcome in late))
+                last_outcomes = cold_run.outcomes[-100:]
+                self.assertTrue(all(isinstance(outcome, Answered) for outcome in last_outcomes))
 
     def test_upstreams_fall_over_without_the_guard(self):
         # At the interval of the other tests few upstreams have two calls at a time.
@@ -89,21 +89,21 @@
         ):
             self.assertGreater(run_restart(seed=1).fallen, 5)
 
-    def test_no_upstream_falls_over_while_an_instance_is_cut_off(self):
+    def test_no_upstream_falls_over_while_an_instance_is_isolated(self):
         """One instance loses platform and peers just when all upstreams restart.
 
         It still reaches the upstreams, still has callers, and hears of nothing: neither of
         cold upstreams from its peers nor of a new list.
         """
 
-        def cut_off(cold_run: ColdRun) -> None:
+        def isolate(cold_run: ColdRun) -> None:
             names = set(cold_run.run.instances)
-            lost = {"noord-1"}
-            cold_run.run.link.cut_between(lost, names - lost | {"platform"})
+            isolated = {"noord-1"}
+            cold_run.run.link.cut_between(isolated, names - isolated | {"platform"})
 
         for seed in range(1, 9):
             with self.subTest(seed=seed):
-                self.assertEqual(0, run_restart(seed, cut_off).fallen)
+                self.assertEqual(0, run_restart(seed, isolate).fallen)
 
     def test_no_upstream_falls_over_when_an_instance_is_replaced(self):
         """A process is killed and started anew while all upstreams are cold.
--- a/packages/geraniumlead-standins/tests/standins_tests/virtual/test_stragglers.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/virtual/test_stragglers.py
@@ -23,7 +23,7 @@
 )
 
 START_MS = 2_000.0
-LATE = TrafficClass(
+PARTIAL_CLASS = TrafficClass(
     name="partial",
     service=SERVICE,
     priority=0,
@@ -38,7 +38,7 @@
 
     def __init__(self, seed: int, size: ClusterSize, class_name: str = "lookup") -> None:
         contract = default_contract()
-        contract = replace(contract, classes=[*contract.classes, LATE])
+        contract = replace(contract, classes=[*contract.classes, PARTIAL_CLASS])
         self.cluster = SmallCluster.from_size(size, seed, contract)
         self.run = self.cluster.run
         self.class_name = class_name
@@ -49,13 +49,19 @@
         self.run.queue.run_until(START_MS)
         self.sent = 0
 
-    def send(self, count: int, deadline_ms: float = 200.0, least: float = 1.0) -> None:
+    def send(self, count: int, deadline_ms: float = 200.0, least_coverage: float = 1.0) -> None:
         """Send a query every ten milliseconds, through all instances in turn."""
         names = list(self.run.instances)
         for _ in range(count):
             now_ms = self.run.now_ms
             request = CallerRequest(
-                f"r{self.sent}", "acme", self.class_name, b"{}", now_ms, now_ms + deadline_ms, least
+                f"r{self.sent}",
+                "acme",
+                self.class_name,
+                b"{}",
+                now_ms,
+                now_ms + deadline_ms,
+                least_coverage,
             )
             self.run.deliver(names[self.sent % len(names)], QueryArrived(request))
             self.sent += 1
@@ -79,9 +85,9 @@
         caller.answers.clear()
         caller.send(100)
         caller.run.queue.run_until(caller.run.now_ms + 500.0)
-        late_ms = [latency_ms for latency_ms, _ in caller.answers]
-        self.assertEqual(100, len(late_ms))
-        self.assertLess(max(late_ms), 60.0)
+        latencies_ms = [latency_ms for latency_ms, _ in caller.answers]
+        self.assertEqual(100, len(latencies_ms))
+        self.assertLess(max(latencies_ms), 60.0)
         self.assertTrue(all(outcome.coverage.is_whole for _, outcome in caller.answers))
 
     def test_class_that_need_not_wait_gets_a_partial_answer_early(self):
@@ -90,12 +96,12 @@
         Its caller has a second, but what is missing will not come.
         """
         caller = Caller(2, ClusterSize(instances=1), "partial")
-        caller.send(200, deadline_ms=1_000.0, least=0.5)
+        caller.send(200, deadline_ms=1_000.0, least_coverage=0.5)
         for name in ("ledger-noord-0", "ledger-noord-4"):
             caller.upstream(name).is_silent = True
         caller.run.queue.run_until(caller.run.now_ms + 200.0)
         caller.answers.clear()
-        caller.send(20, deadline_ms=1_000.0, least=0.5)
+        caller.send(20, deadline_ms=1_000.0, least_coverage=0.5)
         caller.run.queue.run_until(caller.run.now_ms + 2_000.0)
         self.assertEqual(20, len(caller.answers))
         for latency_ms, outcome in caller.answers:
@@ -121,8 +127,8 @@
             upstream.holds[2] = set(upstream.holds[1])
         caller.run.publish({key: encode(new)})
         caller.send(3)
-        for place, upstream in enumerate(caller.run.upstreams.values()):
-            at_ms = caller.run.now_ms + 3.0 * place
+        for number, upstream in enumerate(caller.run.upstreams.values()):
+            at_ms = caller.run.now_ms + 3.0 * number
             caller.run.queue.add(at_ms, lambda u=upstream: u.holds.pop(1))
         caller.send(50)
         old = IndexDocument(service=SERVICE, version=1, shards=new.shards, state="retired")
