--- a/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Stand in for the users' platform: its store and its upstreams."""
+"""Stand-ins for the users' platform: its store and its upstreams."""
 
 from geraniumlead_standins.forwarding.store_contents import StoreContents
 from geraniumlead_standins.forwarding.stub_store import StubStore
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/store_contents.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/store_contents.py
@@ -1,24 +1,24 @@
-"""Hold the keys and the history of a store, and build its answers."""
-
 import asyncio
 from base64 import b64encode
 
 from msgspec.json import encode
 
 MAX_REPLY_EVENTS = 500
-"""Changes in one reply to a watch; whoever is further behind asks again from its revision."""
+"""Most changes in one reply to a watch; a client that is further behind asks again from the
+revision that it got."""
 
 MAX_REPLY_BYTES = 1_000_000
-"""Size of one reply to a watch, by its values in base64; the first change always fits."""
+"""Largest size of one reply to a watch, counting values in base64; the first change is always
+included."""
 
 FIRST_REVISION = 1
 
 
 class StoreContents:
-    """Hold keys with revisions, and answer as the platform's store does.
+    """The keys and the history of a store, which answers as the platform's store does.
 
-    ``oldest`` is the oldest revision whose history is kept; ``page_items`` is how many keys a
-    page holds.
+    ``oldest_revision`` is the oldest revision whose history is kept. ``page_items`` is the
+    number of keys in a page.
     """
 
     def __init__(self, page_items: int) -> None:
@@ -30,7 +30,7 @@
         self._changed = asyncio.Event()
 
     def put(self, key: str, value: dict | bytes) -> None:
-        """Write a key; a dict becomes JSON."""
+        """Write a key; a dict is encoded as JSON."""
         data = value if isinstance(value, bytes) else encode(value)
         self.revision += 1
         item = {"key": key, "revision": self.revision, "value": b64encode(data).decode()}
@@ -44,18 +44,21 @@
         self._append_event({"key": key, "revision": self.revision, "deleted": True})
 
     def discard_history(self) -> None:
-        """Know nothing of what changed before now."""
+        """Discard the history of all changes up to now."""
         self.oldest_revision = self.revision
 
     def page(self, prefix: str, after: str) -> dict:
-        """Return the keys with a prefix that come after a key, as far as they fit."""
+        """Return the first page of the keys with a prefix that sort after a key."""
         keys = sorted(key for key in self._items if key.startswith(prefix) and key > after)
         items = [self._items[key] for key in keys[: self._page_items]]
         is_truncated = len(keys) > self._page_items
         return {"items": items, "truncated": is_truncated, "currentRev": self.revision}
 
     async def changes(self, after: int, wait_s: float) -> dict | None:
-        """Return what changed after a revision, or wait for it; None when that is forgotten."""
+        """Return the changes after a revision, waiting up to ``wait_s`` for the first one.
+
+        Return None if the history after that revision is discarded.
+        """
         if after < self.oldest_revision:
             return None
         if after >= self.revision:
@@ -67,7 +70,7 @@
         return {"events": events, "currentRev": events[-1]["revision"]}
 
     def _limit_size(self, events: list[dict]) -> list[dict]:
-        """Return the events that fit into one reply by their size."""
+        """Return the first events that fit into ``MAX_REPLY_BYTES``, at least one."""
         size_bytes = 0
         for count, event in enumerate(events):
             size_bytes += len(event.get("value", ""))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/stub_store.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/stub_store.py
@@ -1,5 +1,3 @@
-"""Serve ranges and watches of a store that only its owner writes."""
-
 from aiohttp import web
 from msgspec.json import encode
 
@@ -9,9 +7,10 @@
 
 
 class StubStore:
-    """Answer over HTTP as the platform's store does.
+    """Serves ranges and watches over HTTP as the platform's store does.
 
-    ``status`` makes every call fail with it; ``calls`` counts what was asked.
+    Only the owner of this object can write to the store. If ``status`` is set, every call
+    fails with it; ``calls`` counts the calls.
     """
 
     def __init__(self) -> None:
@@ -38,7 +37,7 @@
         return self
 
     async def stop(self) -> None:
-        """Close all connections."""
+        """Stop listening and close all connections."""
         if self._runner is not None:
             await self._runner.cleanup()
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/stub_upstream.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/stub_upstream.py
@@ -1,5 +1,3 @@
-"""Serve requests as the platform's upstreams do, sound or faulty."""
-
 import asyncio
 import socket
 import struct
@@ -9,7 +7,7 @@
 
 
 class UpstreamFault(StrEnum):
-    """Name what goes wrong with an answer."""
+    """The fault with which a stub upstream answers."""
 
     NONE = "none"
     SHED = "shed"
@@ -23,7 +21,11 @@
 
 
 class StubUpstream:
-    """Answer with ``body`` and a signature; remember what ran."""
+    """Serves requests as the platform's upstreams do, correctly or with a fault.
+
+    It answers with ``body`` and a signature. ``ran`` holds the requests that were executed,
+    ``bodies`` their bodies.
+    """
 
     def __init__(self, upstream_id: str, body: bytes = b"answer") -> None:
         self.upstream_id = upstream_id
@@ -48,12 +50,12 @@
         return self
 
     async def stop(self) -> None:
-        """Close all connections."""
+        """Stop listening and close all connections."""
         if self._runner is not None:
             await self._runner.cleanup()
 
     def entry(self, service: str, data_centre: str = "noord-a", **changes) -> dict:
-        """Return what the upstream writes to the store."""
+        """Return the entry that the upstream writes to the store."""
         entry = {
             "service": service,
             "addr": self.address,
@@ -108,7 +110,7 @@
 
 
 def _reset(transport: asyncio.Transport) -> None:
-    """End a connection with a reset, which is not the end of an answer."""
+    """End a connection with a TCP reset, which must not be taken for the end of an answer."""
     connection = transport.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     transport.abort()
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/virtual_store_client.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/virtual_store_client.py
@@ -1,5 +1,3 @@
-"""Read a store in the same process, in virtual time and with its failures."""
-
 import asyncio
 from enum import Enum
 
@@ -11,7 +9,7 @@
 
 
 class StoreAccess(Enum):
-    """Say how the store meets one instance."""
+    """How the store treats the calls of one instance."""
 
     OPEN = "open"
     REFUSING = "refusing"
@@ -19,10 +17,11 @@
 
 
 class VirtualStoreClient(StoreClient):
-    """Be the client of one instance: its calls reach the contents after the time of the way.
+    """The store client of one instance, which reads the contents in the same process.
 
-    ``door`` says whether the store serves this instance, ``calls`` counts what it asked, and
-    while ``is_running`` is not set the instance stands still before it reads an answer.
+    Calls and answers take ``one_way_delay_s`` of virtual time each. ``access`` says how the
+    store treats this instance, and ``calls`` counts its calls. While ``is_running`` is not
+    set, the instance is suspended and does not read an answer.
     """
 
     def __init__(self, contents: StoreContents, one_way_delay_s: float) -> None:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/__init__.py
@@ -1,1 +1,1 @@
-"""Run clusters under failure in virtual time and check their histories."""
+"""Run clusters with failures in virtual time and check their histories."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/__main__.py
@@ -18,7 +18,7 @@
 
 
 def main() -> int:
-    """Run, write the page, and exit 1 when a point is broken as shipped."""
+    """Run the schedules and write the page; return 1 if an invariant is violated as shipped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=4, help="runs of each single failure")
     parser.add_argument("--seeds-off", type=int, default=2, help="of these, also without safeguard")
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/ablations.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/ablations.py
@@ -1,6 +1,6 @@
-"""Take one safeguard out of the system, so that its check is seen to fail.
+"""Remove one safeguard from the system, to show that its check fails without it.
 
-Each variant patches a part for the time of a run. The product has no such switches.
+Each variant patches a method or more during a run. The product has no such switches.
 """
 
 from collections.abc import Callable, Iterator
@@ -20,7 +20,7 @@
 
 @contextmanager
 def merge_any_version() -> Iterator[None]:
-    """Merge what comes for a shard, of whatever version."""
+    """Merge every answer for a shard, whatever its index version."""
 
     def is_same_shard(self, query, shard, answer: Records) -> bool:
         return answer.shard == shard.plan.shard
@@ -31,7 +31,7 @@
 
 @contextmanager
 def count_only_answers() -> Iterator[None]:
-    """Report only the shards that answered, so that a missing one is never seen."""
+    """Report only the shards that answered, which hides missing ones."""
 
     def coverage(self) -> Coverage:
         answered = sum(1 for shard in self.shards if shard.records is not None)
@@ -43,7 +43,7 @@
 
 @contextmanager
 def ignore_cold() -> Iterator[None]:
-    """Use every slot of an upstream, cold or not."""
+    """Use every slot of an upstream, even if it is cold."""
 
     def max_in_flight(self, entry, warm_limit: int, now_ms: float) -> int:
         return warm_limit
@@ -54,14 +54,14 @@
 
 @contextmanager
 def ignore_data_centre_state() -> Iterator[None]:
-    """Send to a data centre whatever operators say."""
+    """Send to a data centre whatever state operators published."""
     with patch.object(ClusterView, "is_data_centre_in", lambda self, name: True):
         yield
 
 
 @contextmanager
 def ignore_leaving() -> Iterator[None]:
-    """Send to an upstream while its entry exists."""
+    """Send to an upstream as long as it is listed, even if it is leaving."""
 
     def is_usable(self, upstream_id: str) -> bool:
         entry = self.upstreams.get(upstream_id)
@@ -73,7 +73,7 @@
 
 @contextmanager
 def match_answers_in_order() -> Iterator[None]:
-    """Where several calls are out at an upstream, give the newest answer to the next of them."""
+    """With several calls at an upstream, give a call the records of the answer before its own."""
     original = QueryCoordinator._handle_answer
     kept: dict[tuple[int, str], Records] = {}
 
@@ -92,7 +92,7 @@
 
 @contextmanager
 def report_unknown_as_not_run() -> Iterator[None]:
-    """Tell callers "not run" where the truth is not known."""
+    """Tell callers "not run" where the outcome is unknown."""
 
     def end(self, query, outcome, now_ms):
         if isinstance(outcome, Unknown):
@@ -106,7 +106,7 @@
 
 @contextmanager
 def run_each_arrival() -> Iterator[None]:
-    """Run a booking whenever and wherever it arrives."""
+    """Run a booking each time that it arrives, on whichever instance."""
     with (
         patch.object(TicketHandler, "is_own", lambda self, ticket: True),
         patch.object(TicketHandler, "claim", lambda self, request, now_ms: None),
@@ -118,7 +118,7 @@
 
 @contextmanager
 def stop_at_once() -> Iterator[None]:
-    """Exit as soon as a stop is asked for."""
+    """Exit as soon as a stop is requested."""
 
     def may_exit(self, *args) -> bool:
         return self.is_stopping
@@ -129,11 +129,11 @@
 
 @contextmanager
 def accept_any_revision() -> Iterator[None]:
-    """Take every document that a source offers, old or new."""
+    """Accept every document that a source offers, also older ones."""
 
     def is_other_revision(self, versioned) -> bool:
-        held = self._newest.get(versioned.key)
-        return held is None or versioned.revision != held.revision
+        current = self._newest.get(versioned.key)
+        return current is None or versioned.revision != current.revision
 
     with patch.object(DocumentStore, "_is_news", is_other_revision):
         yield
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/balancer.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/balancer.py
@@ -1,5 +1,3 @@
-"""Choose an entry instance as the platform's balancer does."""
-
 from random import Random
 
 from geraniumlead_standins.histories.recorded_run import RecordedRun
@@ -8,7 +6,10 @@
 
 
 class Balancer:
-    """Poll readiness once a second, and send to what was ready then."""
+    """Chooses entry instances as the platform's load balancer does.
+
+    It polls readiness once a second and uses the instances that were ready then.
+    """
 
     def __init__(self, run: RecordedRun, random: Random) -> None:
         self._run = run
@@ -17,7 +18,7 @@
         self._poll()
 
     def choose(self) -> str:
-        """Return an instance that was ready at the last poll, else any."""
+        """Return an instance that was ready at the last poll; any instance if none was."""
         return self._random.choice(self._ready or sorted(self._run.instances))
 
     def _poll(self) -> None:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/failures.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/failures.py
@@ -1,4 +1,4 @@
-"""Name the failures; each takes the stage and the time at which it comes."""
+"""The failures by name; each takes the testbed and the time at which it starts."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 from geraniumlead_standins.virtual.virtual_run import PLATFORM
 
 FAILURE_MS = 5_000.0
-"""How long most failures last: longer than every timeout of an instance."""
+"""Duration of most failures, longer than every timeout of an instance."""
 
 Failure = Callable[[Testbed, float], None]
 
@@ -23,14 +23,14 @@
 
 
 def straggle(testbed: Testbed, at_ms: float) -> None:
-    """One upstream is fifty times slower for a while."""
+    """One upstream is fifty times slower for ``FAILURE_MS``."""
     upstream = _pick_upstream(testbed)
     testbed.schedule(at_ms, lambda: setattr(upstream, "slowdown", 50.0))
     testbed.schedule(at_ms + FAILURE_MS, lambda: setattr(upstream, "slowdown", 1.0))
 
 
 def lose_replica(testbed: Testbed, at_ms: float) -> None:
-    """One upstream loses its calls and is gone for a while, then starts cold."""
+    """One upstream loses its calls and is down for ``FAILURE_MS``, then starts cold."""
     upstream = _pick_upstream(testbed)
 
     def lose() -> None:
@@ -41,7 +41,7 @@
 
 
 def retire_version(testbed: Testbed, at_ms: float) -> None:
-    """A repartition, and the old version is dropped under running queries."""
+    """The index is repartitioned, and the old version is dropped while queries run."""
     version, shard_count = testbed.random.choice(((11, 4), (12, 5)))
     testbed.schedule(at_ms, lambda: testbed.repartition(version, shard_count))
     testbed.schedule(at_ms + 700.0, lambda: testbed.burst("retired", 40))
@@ -49,7 +49,7 @@
 
 
 def answer_newest(testbed: Testbed, at_ms: float) -> None:
-    """A repartition, after which upstreams answer old queries from the new version."""
+    """The index is repartitioned, and upstreams answer old queries from the new version."""
     upstreams = list(testbed.run.upstreams.values())
     for upstream in upstreams:
         upstream.answers_newest = True
@@ -62,38 +62,42 @@
 
 
 def turn_cold(testbed: Testbed, at_ms: float) -> None:
-    """Two upstreams turn cold without a word; their connections stay."""
+    """Two upstreams turn cold without notice; their connections stay open."""
     for _ in range(2):
         upstream = _pick_upstream(testbed)
         testbed.schedule(at_ms, lambda up=upstream: up.turn_cold(COLD_ANSWERS))
 
 
 def restart_cold(testbed: Testbed, at_ms: float) -> None:
-    """Two upstreams restart: calls are reset, and the next ones find them cold."""
+    """Two upstreams restart: their calls are reset, and they are cold for the next ones."""
     for _ in range(2):
         upstream = _pick_upstream(testbed)
         testbed.schedule(at_ms, lambda up=upstream: up.restart(COLD_ANSWERS))
 
 
 def return_cold(testbed: Testbed, at_ms: float) -> None:
-    """The upstreams of the data centre that was out are cold when it comes back."""
+    """The upstreams of the data centre that was out are cold when it returns to service."""
     testbed.returns_cold = True
 
 
 def upstream_returns_cold(testbed: Testbed, at_ms: float) -> None:
-    """An upstream leaves, restarts, and is listed again while it is cold."""
+    """An upstream leaves, restarts, and is listed as serving again while it is cold."""
     upstream = _pick_upstream(testbed)
-    home = upstream.upstream_id.split("-")[1]
-    testbed.schedule(at_ms, lambda: testbed.set_upstream_states(home, {upstream.upstream_id}))
+    data_centre = upstream.upstream_id.split("-")[1]
+    testbed.schedule(
+        at_ms, lambda: testbed.set_upstream_states(data_centre, {upstream.upstream_id})
+    )
     testbed.schedule(
         at_ms + FAILURE_MS,
         lambda: upstream.turn_cold(COLD_ANSWERS, reason=WHILE_AWAY),
     )
-    testbed.schedule(at_ms + FAILURE_MS + 1.0, lambda: testbed.set_upstream_states(home, set()))
+    testbed.schedule(
+        at_ms + FAILURE_MS + 1.0, lambda: testbed.set_upstream_states(data_centre, set())
+    )
 
 
 def platform_down(testbed: Testbed, at_ms: float) -> None:
-    """The platform answers nobody."""
+    """The platform answers no calls."""
     testbed.schedule(at_ms, lambda: testbed.run.set_platform(is_down=True))
     testbed.schedule(at_ms + FAILURE_MS, testbed.run.set_platform)
 
@@ -106,7 +110,7 @@
 
 
 def make_platform_stale(testbed: Testbed, at_ms: float) -> None:
-    """The platform comes back from an old copy, and an instance is replaced meanwhile."""
+    """The platform serves an old copy, and an instance is replaced meanwhile."""
     name = _pick_instance(testbed)
     testbed.schedule(at_ms, lambda: testbed.run.set_platform(stale_at_revision=9))
     testbed.schedule(at_ms + 500.0, lambda: testbed.run.kill(name))
@@ -115,14 +119,14 @@
 
 
 def freeze(testbed: Testbed, at_ms: float) -> None:
-    """One instance is frozen for longer than each timeout, and wakes with an old view."""
+    """One instance is frozen for longer than every timeout, and resumes with a stale view."""
     name = _pick_instance(testbed)
     testbed.schedule(at_ms, lambda: testbed.run.freeze(name))
     testbed.schedule(at_ms + FAILURE_MS, lambda: testbed.run.thaw(name))
 
 
 def freeze_then_isolate(testbed: Testbed, at_ms: float) -> None:
-    """One instance is frozen, and wakes while it can reach neither platform nor peers."""
+    """One instance is frozen, and resumes isolated from the platform and all peers."""
     name = _pick_instance(testbed)
     others = {PLATFORM, *testbed.instance_names} - {name}
     testbed.schedule(at_ms, lambda: testbed.run.freeze(name))
@@ -146,14 +150,14 @@
 
 
 def isolate_data_centre(testbed: Testbed, at_ms: float) -> None:
-    """One data centre is cut off from everything."""
+    """One data centre is isolated from the platform and the other data centre."""
     others = testbed.instances_in(ZUID) | {PLATFORM} | set(testbed.upstream_ids(ZUID))
     testbed.schedule(at_ms, lambda: testbed.cut_between(testbed.instances_in(NOORD), others))
     testbed.schedule(at_ms + FAILURE_MS, testbed.run.heal)
 
 
 def cut_one_way(testbed: Testbed, at_ms: float) -> None:
-    """What one instance sends is lost, what is sent to it arrives."""
+    """Messages from one instance to its peers are lost, messages to it arrive."""
     name = _pick_instance(testbed)
     pairs = {(name, other) for other in testbed.instance_names if other != name}
     testbed.schedule(at_ms, lambda: testbed.run.cut(pairs))
@@ -168,34 +172,34 @@
 
 
 def crash_query(testbed: Testbed, at_ms: float) -> None:
-    """A query crashes each upstream that runs it, and its caller sends it again."""
+    """A query crashes each upstream that runs it, and its caller retries it."""
     operation = Operation("crash", "lookup", b'{"token":"crash","text":"crash"}')
     for number in range(6):
         testbed.schedule(at_ms + 400.0 * number, lambda: testbed.callers.start(operation))
 
 
 def silence_connections(testbed: Testbed, at_ms: float) -> None:
-    """What one upstream answers to one instance never arrives."""
+    """The answers of one upstream to one instance never arrive."""
     name, upstream = _pick_instance(testbed), _pick_upstream(testbed)
     testbed.schedule(at_ms, lambda: testbed.run.cut({(upstream.upstream_id, name)}))
     testbed.schedule(at_ms + FAILURE_MS, testbed.run.heal)
 
 
 def lose_messages(testbed: Testbed, at_ms: float) -> None:
-    """One message in twenty is lost between any two ends."""
+    """One message in twenty is lost between any two endpoints."""
     testbed.schedule(at_ms, lambda: testbed.run.set_loss(0.05))
     testbed.schedule(at_ms + FAILURE_MS, lambda: testbed.run.set_loss(0.0))
 
 
 def kill_and_replace(testbed: Testbed, at_ms: float) -> None:
-    """Instances are killed one after the other and replaced at once."""
+    """Instances are killed one after the other and replaced within 30 ms."""
     for number, name in enumerate(testbed.instance_names):
         testbed.schedule(at_ms + 900.0 * number, lambda n=name: testbed.run.kill(n))
         testbed.schedule(at_ms + 900.0 * number + 30.0, lambda n=name: testbed.replace_instance(n))
 
 
 def kill_twice(testbed: Testbed, at_ms: float) -> None:
-    """Instances are killed in a burst, replaced, killed again in a burst, and replaced."""
+    """Instances are killed during a burst of requests and replaced, twice in a row."""
     for number, name in enumerate(testbed.instance_names):
         for turn in range(2):
             killed_ms = at_ms + 1_000.0 * number + 120.0 * turn
@@ -222,7 +226,7 @@
 
 
 def race_operators(testbed: Testbed, at_ms: float) -> None:
-    """Two operators write contract against contract and data centre out against in."""
+    """Two operators publish conflicting states of a data centre and conflicting contracts."""
     for number in range(6):
         state = ("out", "in")[number % 2]
         testbed.schedule(at_ms + 7.0 * number, lambda s=state: testbed.set_data_centre(NOORD, s))
@@ -230,7 +234,7 @@
 
 
 def lag_lists(testbed: Testbed, at_ms: float) -> None:
-    """An instance goes from the list while it serves, and comes back late."""
+    """An instance is missing in the list while it serves, and is listed again later."""
 
     def publish(names: set[str]) -> None:
         entries = [
@@ -245,7 +249,7 @@
 
 
 def send_twice(testbed: Testbed, at_ms: float) -> None:
-    """Callers hang up and send again elsewhere, or send the same request twice at once."""
+    """Callers disconnect and retry elsewhere, or send the same request twice at once."""
     for number in range(60):
         operation = testbed.draw_operation()
         operation.sends_twice = number % 2 == 0
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/key_owner_variant.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/key_owner_variant.py
@@ -1,4 +1,4 @@
-"""Run bookings by the second way that was weighed: a key's owner by rendezvous hash."""
+"""A second design of bookings that was considered: rendezvous hashing selects a key's owner."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -14,10 +14,10 @@
 
 @contextmanager
 def own_keys_by_rendezvous() -> Iterator[None]:
-    """Let whichever listed instance ranks first for a key remember it and run its booking.
+    """Let the listed instance that ranks first for a key record the key and run its booking.
 
-    The owner has no memory of what it saw before it started, or of what another owner saw
-    under an older list; it takes an unknown key for a new one.
+    The owner does not know which keys it had before it started, or which ones another owner
+    had under an older list; it takes an unknown key for a new one.
     """
     with patch.object(RequestHandler, "_is_settled_by_ticket", _is_settled_by_owner):
         yield
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/matrix.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/matrix.py
@@ -1,4 +1,4 @@
-"""Hold every point against every failure, with its safeguard off and on."""
+"""Check every invariant under every failure, with and without its safeguard."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
@@ -13,7 +13,11 @@
 
 @dataclass(slots=True)
 class Cell:
-    """Sum up the runs of one point under one failure; ``examples`` are of the safeguard on."""
+    """The totals of the runs of one invariant under one failure.
+
+    ``broken_without`` and ``broken_with`` count violations without and with the invariant's
+    safeguard. ``failing_seeds`` and ``examples`` are of runs with it.
+    """
 
     runs: int = 0
     operations: int = 0
@@ -27,7 +31,7 @@
 
 
 def run_with_safeguards(table: Table, label: str, scenarios: Iterable[Scenario]) -> None:
-    """Run scenarios with all safeguards on, and check every point."""
+    """Run scenarios with all safeguards, and check every invariant."""
     for scenario in scenarios:
         history = scenario.run()
         for invariant, check in CHECKS.items():
@@ -41,7 +45,7 @@
 
 
 def run_without_safeguards(table: Table, label: str, scenarios: Iterable[Scenario]) -> None:
-    """Run scenarios once for each point, without that point's safeguard."""
+    """Run scenarios once for each invariant, without the safeguard of that invariant."""
     for scenario in scenarios:
         for invariant, without_safeguard in ABLATIONS.items():
             with without_safeguard():
@@ -53,7 +57,7 @@
 
 
 def single_failures(seeds: Iterable[int]) -> Iterator[tuple[str, list[Scenario]]]:
-    """Return a run for each failure and seed, and one without any."""
+    """Yield each failure with one scenario per seed, after ``none`` without failures."""
     seeds = list(seeds)
     yield "none", [Scenario(seed) for seed in seeds]
     for name in FAILURES:
@@ -61,11 +65,11 @@
 
 
 def draw_pairs(seed: int, count: int) -> list[Scenario]:
-    """Draw pairs of different failures."""
+    """Return random pairs of different failures."""
     pairs = Random(seed).sample(list(combinations(FAILURES, 2)), count)
     return [Scenario(seed + number, pair) for number, pair in enumerate(pairs)]
 
 
 def failures_twice(seed: int) -> list[Scenario]:
-    """Return every failure twice in one run."""
+    """Return one scenario per failure in which that failure comes twice."""
     return [Scenario(seed + number, (name, name)) for number, name in enumerate(FAILURES)]
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/open_request.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/open_request.py
@@ -1,5 +1,3 @@
-"""Define one attempt that its caller still waits for."""
-
 from dataclasses import dataclass
 
 from geraniumlead_standins.histories.operation import Operation
@@ -7,7 +5,7 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """Tie an attempt to its operation; ``is_closed`` once its caller saw the end of it."""
+    """One attempt of an operation; ``is_closed`` once its caller saw the outcome or left."""
 
     request_id: str
     operation: Operation
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/operation.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/operation.py
@@ -1,11 +1,9 @@
-"""Define what a caller wants done, over all its attempts."""
-
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class Operation:
-    """Follow one operation; ``token`` is echoed by every record that answers it."""
+    """One operation of a caller with all its attempts; every record of it echoes ``token``."""
 
     token: str
     class_name: str
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/recorded_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/recorded_run.py
@@ -1,5 +1,3 @@
-"""Record all that happens in a virtual run."""
-
 from functools import partial
 
 from msgspec.json import decode
@@ -15,7 +13,7 @@
 
 
 class RecordedRun(VirtualRun):
-    """Be a virtual run whose publications, processes, links and upstreams write a history."""
+    """A virtual run that records publications, processes, links and upstreams as a history."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
@@ -26,13 +24,13 @@
         self._unfinished_at_exit: dict[str, int] = {}
 
     def add_upstream(self, address: str, upstream_id: str, **changes) -> FakeUpstream:
-        """Start an upstream that writes what it sees."""
+        """Start an upstream that records its calls and changes."""
         upstream = super().add_upstream(address, upstream_id, **changes)
         upstream.log = partial(self.recorder.record, upstream_id)
         return upstream
 
     def find_upstream(self, upstream_id: str) -> FakeUpstream:
-        """Return an upstream by its name."""
+        """Return an upstream by its id."""
         return next(u for u in self.upstreams.values() if u.upstream_id == upstream_id)
 
     def start_instance(self, settings: InstanceSettings) -> Instance:
@@ -55,24 +53,24 @@
         super().publish(values)
 
     def kill(self, name: str) -> None:
-        """End a process, with notice when it asked for its end itself."""
+        """End a process; record it as stopped if it asked for its end itself, else as killed."""
         if not self.instances[name].is_alive:
             return
-        cut_off = self._unfinished_at_exit.pop(name, None)
-        if cut_off is None:
+        unfinished = self._unfinished_at_exit.pop(name, None)
+        if unfinished is None:
             self._record_process_event(name, "process_killed")
         else:
-            self._record_process_event(name, "process_stopped", cut_off=cut_off)
+            self._record_process_event(name, "process_stopped", cut_off=unfinished)
         super().kill(name)
         self.on_kill(name)
 
     def freeze(self, name: str) -> None:
-        """Stop a process for a while."""
+        """Suspend a process until ``thaw``."""
         self._record_process_event(name, "frozen")
         super().freeze(name)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a frozen process."""
         if self.instances[name].is_frozen:
             self._record_process_event(name, "thawed")
             super().thaw(name)
@@ -88,12 +86,12 @@
         self.link.heal()
 
     def set_loss(self, share: float) -> None:
-        """Lose a share of all messages, or none."""
+        """Set the share of all messages that is lost; 0 ends the losses."""
         self.recorder.record(FAULTS, "losses_began" if share else "losses_ended")
         self.link.loss = share
 
     def set_platform(self, is_down: bool = False, stale_at_revision: int | None = None) -> None:
-        """Change what the platform does; up and fresh again, its watchers read anew."""
+        """Make the platform down, stale or healthy, and let its watchers read again."""
         self.platform.is_down = is_down
         self.platform.stale_at_revision = stale_at_revision
         if is_down:
@@ -110,8 +108,8 @@
 
     def _record_action(self, name: str, action: Action, now_ms: float) -> None:
         match action:
-            case StopNow(unfinished_requests=cut_off):
-                self._unfinished_at_exit[name] = cut_off
+            case StopNow(unfinished_requests=unfinished):
+                self._unfinished_at_exit[name] = unfinished
             case Report(name="configuration_in_force"):
                 parts = self.instances[name].instance.parts
                 revisions = {item.key: item.revision for item in parts.store.documents_above(0)}
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/report.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/report.py
@@ -1,5 +1,3 @@
-"""Write the table of points and failures."""
-
 from geraniumlead_standins.histories.matrix import Table
 from geraniumlead_standins.history.checks import CHECKS
 
@@ -20,7 +18,7 @@
 
 
 def write_report(table: Table, seeds_text: str) -> str:
-    """Return the page."""
+    """Return the page with the table of invariants and failures."""
     labels = list(dict.fromkeys(label for label, _ in table))
     lines = [HEADER, f"Seeds: {seeds_text}.", ""]
     lines.append("| failure | runs | " + " | ".join(CHECKS) + " |")
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/scenario.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/scenario.py
@@ -1,5 +1,3 @@
-"""Run one schedule of failures over the operations of an ordinary day."""
-
 from dataclasses import dataclass
 from random import Random
 
@@ -20,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """Name the failures of one run and the seed of everything else."""
+    """A schedule of failures during ordinary operations; everything is drawn from the seed."""
 
     seed: int
     failures: tuple[str, ...] = ()
@@ -41,7 +39,7 @@
 def _schedule_callers(testbed: Testbed, random: Random) -> None:
     times_ms = [random.uniform(500.0, CALLS_UNTIL_MS) for _ in range(OPERATIONS)]
     for _ in range(BURSTS):
-        # More at once than the contract allows, so that some are refused.
+        # More requests at once than the contract allows, so that some are refused.
         burst_ms = random.uniform(FIRST_FAILURE_MS, CALLS_UNTIL_MS)
         times_ms += [burst_ms + random.uniform(0.0, BURST_MS) for _ in range(OPERATIONS_PER_BURST)]
     for number, at_ms in enumerate(times_ms):
@@ -50,10 +48,16 @@
 
 
 def _schedule_operators(testbed: Testbed, random: Random) -> None:
-    """Let one upstream leave, take a centre out and back, and restart one instance."""
+    """Schedule the changes that operators make in every run.
+
+    One upstream leaves, one data centre is taken out and back in, the contract changes, and
+    one instance is stopped gracefully and replaced.
+    """
     leaving = random.choice(testbed.upstream_ids())
-    home = leaving.split("-")[1]
-    testbed.schedule(random.uniform(3e3, 8e3), lambda: testbed.set_upstream_states(home, {leaving}))
+    data_centre = leaving.split("-")[1]
+    testbed.schedule(
+        random.uniform(3e3, 8e3), lambda: testbed.set_upstream_states(data_centre, {leaving})
+    )
     out_ms = random.uniform(3_000.0, 8_000.0)
     testbed.schedule(out_ms, lambda: testbed.set_data_centre(NOORD, "out"))
     testbed.schedule(out_ms + 9_000.0, lambda: testbed.bring_back(NOORD))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/simulated_callers.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/simulated_callers.py
@@ -1,5 +1,3 @@
-"""Send requests as many callers do, and send them again when something goes wrong."""
-
 from itertools import count
 from random import Random
 
@@ -25,7 +23,10 @@
 
 
 class SimulatedCallers:
-    """Run operations: a booking asks for a ticket first, and sends it with every attempt."""
+    """Many callers that send requests, and retry them if something goes wrong.
+
+    A booking requests a ticket first and sends it with every attempt.
+    """
 
     def __init__(self, run: RecordedRun, balancer: Balancer, random: Random) -> None:
         self._run = run
@@ -38,7 +39,7 @@
         run.on_kill = self._reset_connections
 
     def start(self, operation: Operation) -> None:
-        """Begin an operation now."""
+        """Start an operation now."""
         if operation.idempotent or operation.ticket:
             self._send(operation)
             if operation.sends_twice:
@@ -90,7 +91,7 @@
             self._close(request, "lost", reason="connection refused")
             return
         if host.is_frozen:
-            # The bytes wait in the socket; the process reads them when it wakes.
+            # The bytes wait in the socket buffer until the process resumes and reads them.
             self._schedule(FROZEN_POLL_MS, lambda: self._deliver(request))
             return
         operation, now_ms = request.operation, self._run.now_ms
@@ -190,7 +191,7 @@
 
 
 def build_operation(number: int, random: Random, text: str = "x") -> Operation:
-    """Draw a lookup over all shards, a lookup of one key, or a booking of one key."""
+    """Return a random operation: a lookup over all shards, or a lookup or booking of one key."""
     kind = random.choice(("lookup", "lookup", "keyed", "booking"))
     token = f"{kind}-{number}"
     return Operation(
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/testbed.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/testbed.py
@@ -1,5 +1,3 @@
-"""Set up a small cluster with callers, and change it as operators and the platform do."""
-
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 from dataclasses import replace as replace_size
@@ -36,7 +34,8 @@
 SIZE = ClusterSize(data_centres=(NOORD, ZUID), instances=2, shards=3, replicas=2)
 
 SINGLE_OWNER_CONNECTIONS = 7
-"""Enough for one owner only, so that half of the subqueries pass through a peer."""
+"""Connections to an upstream that suffice for one owner only, so that half of the subqueries go
+through a peer."""
 
 
 COLD_ANSWERS = 12
@@ -45,7 +44,10 @@
 
 @dataclass(slots=True)
 class Testbed:
-    """Hold a running cluster of two data centres and its callers."""
+    """A running cluster of two data centres with callers.
+
+    Its methods change it as operators and the platform do.
+    """
 
     run: RecordedRun
     cluster: SmallCluster
@@ -57,16 +59,16 @@
 
     @classmethod
     def from_seed(cls, seed: int) -> "Testbed":
-        """Start everything; all randomness comes from the seed."""
+        """Start the cluster and its callers; all randomness comes from the seed."""
         run = RecordedRun(seed)
         has_one_owner = seed % 2 == 1
         size = replace_size(SIZE, connections=SINGLE_OWNER_CONNECTIONS) if has_one_owner else SIZE
         cluster = SmallCluster.from_size(size, seed, CONTRACT, run=run)
-        crowd = SimulatedCallers(run, Balancer(run, Random(f"{seed}/b")), Random(f"{seed}/c"))
-        return cls(run, cluster, crowd, Random(f"{seed}/s"), has_one_owner=has_one_owner)
+        callers = SimulatedCallers(run, Balancer(run, Random(f"{seed}/b")), Random(f"{seed}/c"))
+        return cls(run, cluster, callers, Random(f"{seed}/s"), has_one_owner=has_one_owner)
 
     def schedule(self, time_ms: float, callback: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Run a callback at a virtual time."""
         self.run.queue.add(time_ms, callback)
 
     @property
@@ -89,12 +91,15 @@
         self.run.publish({document_key(kind, *parts): value})
 
     def set_data_centre(self, name: str, state: str) -> None:
-        """Take a data centre out, or bring it back."""
+        """Publish the state of a data centre, ``in`` or ``out``."""
         document = DataCentreDocument(name=name, region=name, state=state)
         self.publish(DocumentKind.DATA_CENTRE, name, document=document)
 
     def bring_back(self, name: str) -> None:
-        """Bring a data centre back; its idle upstreams may have turned cold meanwhile."""
+        """Return a data centre to service.
+
+        With ``returns_cold``, its upstreams, which were idle, have turned cold meanwhile.
+        """
         if self.returns_cold:
             for upstream_id in self.upstream_ids(name):
                 upstream = self.run.find_upstream(upstream_id)
@@ -102,7 +107,7 @@
         self.set_data_centre(name, "in")
 
     def set_upstream_states(self, data_centre: str, leaving: set[str]) -> None:
-        """Publish a data centre's upstreams, some of them leaving."""
+        """Publish a data centre's upstreams, with those in ``leaving`` as leaving."""
         entries = [
             UpstreamEntry(
                 upstream_id=upstream.upstream_id,
@@ -124,7 +129,11 @@
         self.publish(DocumentKind.CONTRACT, contract.customer, document=contract)
 
     def repartition(self, version: int, shard_count: int, published_after_ms: float = 0.0) -> None:
-        """Spread the data anew over other upstreams, as a new index version."""
+        """Distribute the data over the upstreams again, as a new index version.
+
+        The upstreams hold it at once; its document is published after
+        ``published_after_ms``.
+        """
         names = {data_centre: self.upstream_ids(data_centre) for data_centre in SIZE.data_centres}
         shards = []
         for shard in range(shard_count):
@@ -143,16 +152,16 @@
         )
 
     def draw_operation(self, text: str = "x") -> Operation:
-        """Draw an operation with a token of its own."""
+        """Return a random operation with its own token."""
         return build_operation(next(self.numbers), self.random, text)
 
     def burst(self, name: str, size: int) -> None:
-        """Let many callers ask at once."""
+        """Start many operations at once; ``name`` is put into the text of their queries."""
         for _ in range(size):
             self.callers.start(self.draw_operation(name))
 
     def retire(self, version: int) -> None:
-        """Drop an index version from every upstream; the document follows."""
+        """Drop an index version from every upstream; its document is published 500 ms later."""
         for upstream in self.run.upstreams.values():
             upstream.holds.pop(version, None)
         document = replace(build_index(SIZE, 1), version=version, state="retired")
@@ -162,17 +171,17 @@
         )
 
     def replace_instance(self, name: str) -> None:
-        """Start a new process in the place of one that ended."""
+        """Start a new process of an instance whose process has ended."""
         if not self.run.instances[name].is_alive:
             self.run.start_instance(self.cluster.settings[name])
 
     def stop_gracefully(self, name: str) -> None:
-        """Ask a process to stop, as operators do."""
+        """Request a graceful stop of a process, as operators do."""
         host = self.run.instances[name]
         if host.is_alive and not host.is_frozen:
             self.run.recorder.record(FAULTS, "stop_asked", instance=name)
             self.run.deliver(name, StopRequested())
 
     def cut_between(self, group: set[str], others: set[str]) -> None:
-        """Cut both directions between two groups of ends."""
+        """Cut both directions between two groups of endpoints."""
         self.run.cut({pair for a in group for b in others for pair in ((a, b), (b, a))})
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/__init__.py
@@ -1,4 +1,4 @@
-"""Write, read and check histories of concurrent runs."""
+"""Record, read and check histories of concurrent runs."""
 
 from geraniumlead_standins.history.check_result import CheckResult
 from geraniumlead_standins.history.event import HistoryEvent
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/__main__.py
@@ -11,7 +11,7 @@
 
 
 def main() -> int:
-    """Print a line for each point; exit 1 when any was broken."""
+    """Print a line for each invariant; return 1 if any was violated."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("files", type=Path, nargs="+")
     results = check_all(History.from_files(parser.parse_args().files))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/check_result.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/check_result.py
@@ -1,5 +1,3 @@
-"""Define what a check found in one history."""
-
 from dataclasses import dataclass, field
 
 from geraniumlead_standins.history.violation import Violation
@@ -7,9 +5,9 @@
 
 @dataclass(slots=True)
 class CheckResult:
-    """Count the operations that were held against the point, and list what broke it.
+    """The number of operations that one check examined in a history, and its violations.
 
-    A point that had no operation to check has not been shown to hold.
+    With 0 operations, the history does not show that the invariant holds.
     """
 
     invariant: str
@@ -17,5 +15,5 @@
     violations: list[Violation] = field(default_factory=list)
 
     def add(self, at_ns: int, detail: str) -> None:
-        """Note a violation."""
+        """Add a violation of this invariant."""
         self.violations.append(Violation(self.invariant, at_ns, detail))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/__init__.py
@@ -1,4 +1,4 @@
-"""Check one promise each over a history; no check knows how the system works inside."""
+"""Checks of one invariant each over a history; none depends on the system's internals."""
 
 from collections.abc import Callable
 
@@ -30,7 +30,7 @@
 
 
 def check_all(history: History) -> list[CheckResult]:
-    """Run every check."""
+    """Run every check on a history."""
     return [check(history) for check in CHECKS.values()]
 
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/at_most_once.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/at_most_once.py
@@ -1,16 +1,15 @@
-"""Check that a non-idempotent request runs at most once, and that its outcomes are true."""
-
 from geraniumlead_standins.history.check_result import CheckResult
 from geraniumlead_standins.history.history import History
 
 
 def check_at_most_once(history: History) -> CheckResult:
-    """Look for bookings that began twice, over all instances, upstreams and attempts.
+    """Check that a booking runs at most once and that its outcomes are correct.
 
-    Attempts of one booking share its token. An answer that says it ran needs a run before
-    it; a refusal after an answer that says it ran is a lie too. "Unknown" is always true;
-    how often it is said is for the table. Clock: the one that all lines share. Allowance:
-    none.
+    A booking (a non-idempotent request) that began twice is a violation, over all instances,
+    upstreams and attempts; attempts of one booking share its token. So is an answer that
+    says the booking ran without a run before it, and a refusal as not run after an answer
+    that says it ran. The outcome "unknown" is always correct; this check doesn't limit how
+    often it is given. Clock: the one that all lines share. Allowance: none.
     """
     result = CheckResult("at most once")
     bookings = {sent.token for sent in history.get_events("sent") if not sent.idempotent}
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/cold_load.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/cold_load.py
@@ -1,5 +1,3 @@
-"""Check that an upstream in cold start receives no more load than it can bear."""
-
 from dataclasses import dataclass, field
 
 from geraniumlead_standins.history.check_result import CheckResult
@@ -8,24 +6,25 @@
 from geraniumlead_standins.history.reachability import Reachability
 
 NOTICE_ALLOWANCE_NS = 250_000_000
-"""The time in which an instance that saw an upstream cold tells the others: a batching tick
-and the longest one-way delay between regions, with room for a busy machine."""
+"""Time within which an instance that found an upstream cold has informed the others: a
+batching tick and the longest one-way delay between regions, with a margin for a busy machine."""
 
 OWN_NOTICE_NS = 50_000_000
-"""The way of an answer back to the instance that called."""
+"""Time that an answer takes to reach the instance that called the upstream."""
 
 WHILE_AWAY = "while away"
-"""The reason of a cold start at which the upstream was leaving or its data centre was out:
-whoever brings it back can know, so nothing is allowed for notice."""
+"""Reason of a cold start during which the upstream was leaving or its data centre was out.
+Whoever returns it to service can know that it is cold, so there is no notice allowance."""
 
 
 def check_cold_load(history: History) -> CheckResult:
-    """Look for an upstream that has more calls at once than its allowance while it is cold.
+    """Check that a cold upstream never has more calls at once than its allowance.
 
-    Clock: the upstream's own. A call counts from its ``received`` to its ``ended``. An
-    upstream that turns cold without a word is known to nobody until a call ends there:
-    counted are only calls of instances that could know. These are the caller of that call,
-    after ``OWN_NOTICE_NS``, and every other that was joined for ``NOTICE_ALLOWANCE_NS``.
+    Clock: the upstream's own. A call counts from its ``received`` to its ``ended``. No
+    instance can know of an upstream that turns cold without notice until a call ends there,
+    so only calls of instances that could know are counted: the caller of that call, after
+    ``OWN_NOTICE_NS``, and every other instance that was connected (see ``Reachability``) for
+    ``NOTICE_ALLOWANCE_NS`` since.
     """
     result = CheckResult("cold load")
     loads: dict[str, _Load] = {}
@@ -50,6 +49,13 @@
 
 @dataclass(slots=True)
 class _Load:
+    """The cold state of one upstream and the calls that count against its allowance.
+
+    ``known_from_ns`` says from when each instance that had a call end there knows that the
+    upstream is cold. ``shared_from_ns`` is when the first such call ended: the others can be
+    informed from then on.
+    """
+
     is_cold: bool = False
     allowance: int = 0
     shared_from_ns: int | None = None
@@ -71,7 +77,7 @@
                 self.shared_from_ns = event.at_ns
 
     def add_call(self, event: HistoryEvent, reachability: Reachability) -> bool:
-        """Return whether the call is one too many of an instance that could know."""
+        """Count a call of an instance that could know; return whether it exceeds the allowance."""
         if not self._is_informed(event, reachability):
             return False
         self.calls.add(event.call_id)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/configuration.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/configuration.py
@@ -1,5 +1,3 @@
-"""Check that an accepted configuration is in force everywhere in seconds, and stays."""
-
 from collections import defaultdict
 
 from geraniumlead_standins.history.check_result import CheckResult
@@ -7,17 +5,18 @@
 from geraniumlead_standins.history.history import History
 
 IN_FORCE_ALLOWANCE_NS = 6_000_000_000
-"""The time that a publication may take to be in force on an instance that can hear of it."""
+"""Time within which a publication must be in force on an instance that can learn of it."""
 
 
 def check_configuration(history: History) -> CheckResult:
-    """Look for documents that came late, or that an instance took back.
+    """Check that published documents come into force in time and are never reverted.
 
     ``in_force`` events give, for one incarnation, the revision of each document that it
-    acts on. Late: ``IN_FORCE_ALLOWANCE_NS`` in one piece joined to the platform (see
-    Reachability) went by without it; an incarnation that never reported anything is
-    starting and is not held to it. Taken back: the same incarnation acts on a lower
-    revision of a document than before. Clock: the one that all lines share.
+    acts on. A document is late if the instance was connected to the platform (see
+    ``Reachability``) for ``IN_FORCE_ALLOWANCE_NS`` without a break and does not act on it. An
+    incarnation that never reported anything is still starting and is not checked. A document
+    is reverted if the same incarnation acts on a lower revision of it than before. Clock: the
+    one that all lines share.
     """
     result = CheckResult("configuration")
     reports: dict[tuple[str, str], list[HistoryEvent]] = defaultdict(list)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/data_centre_out.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/data_centre_out.py
@@ -1,5 +1,3 @@
-"""Check that a data centre that is out receives no new work after a few seconds."""
-
 from geraniumlead_standins.history.check_result import CheckResult
 from geraniumlead_standins.history.checks.withdrawal import (
     FOREVER_NS,
@@ -12,7 +10,7 @@
 
 
 def check_data_centre_out(history: History) -> CheckResult:
-    """Look for calls to upstreams of a data centre while its document says ``out``.
+    """Check that upstreams of a data centre receive no calls while its document says ``out``.
 
     Clock and allowance: see ``check_withdrawals``.
     """
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/graceful_stop.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/graceful_stop.py
@@ -1,21 +1,20 @@
-"""Check that every planned stop cuts off no request."""
-
 from geraniumlead_standins.history.check_result import CheckResult
 from geraniumlead_standins.history.event import HistoryEvent
 from geraniumlead_standins.history.history import History
 
 BALANCER_NOTICE_NS = 1_400_000_000
-"""A balancer that polls readiness once a second may send this long after a stop was asked."""
+"""A balancer that polls readiness once a second may send requests for this long after a
+stop was requested."""
 
 
 def check_graceful_stop(history: History) -> CheckResult:
-    """Look for requests that a stopping instance did not answer.
+    """Check that a planned stop of an instance loses no request.
 
-    Counted are the requests sent to it until ``BALANCER_NOTICE_NS`` after the stop was
-    asked: each needs an outcome before the process ends. Counted too are other instances'
-    requests: a reply that came to the stopping one has to be in their answers. A process
-    that was killed or frozen during its stop did not stop as planned. Clock: the one that
-    all lines share.
+    Requests that were sent to the instance until ``BALANCER_NOTICE_NS`` after the stop was
+    requested need an outcome before the process ends. Requests of other instances count as
+    well: a reply that reached the stopping instance must be in their answers. A process that
+    was killed or frozen during its stop did not stop as planned and is not checked. Clock:
+    the one that all lines share.
     """
     result = CheckResult("graceful stop")
     dropped = {event.request_id for event in history.get_events("dropped")}
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/leaving_upstream.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/leaving_upstream.py
@@ -1,5 +1,3 @@
-"""Check that a leaving upstream receives no new work after a few seconds."""
-
 from geraniumlead_standins.history.check_result import CheckResult
 from geraniumlead_standins.history.checks.withdrawal import (
     FOREVER_NS,
@@ -10,7 +8,7 @@
 
 
 def check_leaving_upstream(history: History) -> CheckResult:
-    """Look for calls to an upstream whose list says ``leaving`` or names it no more.
+    """Check that an upstream receives no calls once its list says ``leaving`` or omits it.
 
     Clock and allowance: see ``check_withdrawals``.
     """
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/not_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/not_run.py
@@ -1,5 +1,3 @@
-"""Check that a refusal that says "not run" means that the request did not run."""
-
 from collections import defaultdict
 
 from geraniumlead_standins.history.check_result import CheckResult
@@ -8,11 +6,12 @@
 
 
 def check_not_run(history: History) -> CheckResult:
-    """Look for a refused request that an upstream began to run.
+    """Check that no upstream began to run a request that was refused as not run.
 
-    An idempotent attempt that was refused may never begin, before or after. A booking's
-    attempts share one ticket, so a refusal says that none of them began until it came; a
-    later attempt may. Clock: the one that all lines share. Allowance: none.
+    An idempotent attempt that was refused must never begin, neither before nor after the
+    refusal. The attempts of a booking share one ticket, so a refusal says that none of them
+    began before it; a later attempt may run. Clock: the one that all lines share.
+    Allowance: none.
     """
     result = CheckResult("not run")
     starts_of_request = _group_by_caller_id(history)
@@ -38,7 +37,7 @@
 
 
 def _group_by_caller_id(history: History) -> dict[str, list[HistoryEvent]]:
-    """Group by the identifier the caller gave: the system may add a suffix after a dot."""
+    """Group the starts by the caller's request id; the system may add a suffix after a dot."""
     groups = defaultdict(list)
     for start in history.get_events("started"):
         groups[start.request_id.split(".", 1)[0]].append(start)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/one_snapshot.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/one_snapshot.py
@@ -1,13 +1,11 @@
-"""Check that every answer comes from one snapshot of the index."""
-
 from geraniumlead_standins.history.check_result import CheckResult
 from geraniumlead_standins.history.history import History
 
 
 def check_one_snapshot(history: History) -> CheckResult:
-    """Look for an answer with a record of another index version than the one it names.
+    """Check that all records of an answer have the index version that the answer names.
 
-    Clock: none, only what the answer itself holds. Allowance: none.
+    Clock: none, as only the answer itself is examined. Allowance: none.
     """
     result = CheckResult("one snapshot")
     for answer in history.get_events("answered"):
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/own_answer.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/own_answer.py
@@ -1,19 +1,18 @@
-"""Check that each caller receives the one whole answer to its own request, in time."""
-
 from geraniumlead_standins.history.check_result import CheckResult
 from geraniumlead_standins.history.event import HistoryEvent
 from geraniumlead_standins.history.history import History
 
 ANSWER_ALLOWANCE_NS = 500_000_000
-"""An answer may come this long after the request's deadline: the way to the instance and
-back, a batching tick, and the scheduling of a busy machine."""
+"""An answer may arrive this long after the request's deadline: the network delay to the
+instance and back, a batching tick, and scheduling delays on a busy machine."""
 
 
 def check_own_answer(history: History) -> CheckResult:
-    """Look for requests with no answer, two answers, a late one or another request's records.
+    """Check that each caller receives exactly one answer to its own request, in time.
 
-    Every record echoes the token of its query. A request is owed nothing when its instance
-    was killed or frozen while it waited, or when its caller left. Clock: the caller's.
+    No answer, two answers, a late answer and records of another request are violations.
+    Every record echoes the token of its query. A request needs no answer if its instance was
+    killed or frozen while it waited, or if its caller disconnected. Clock: the caller's.
     """
     result = CheckResult("own answer")
     dropped = {event.request_id for event in history.get_events("dropped")}
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/true_coverage.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/true_coverage.py
@@ -1,5 +1,3 @@
-"""Check that the coverage reported with an answer is true."""
-
 from collections import Counter, defaultdict
 
 from geraniumlead_standins.history.check_result import CheckResult
@@ -7,21 +5,22 @@
 from geraniumlead_standins.history.history import History
 
 REPLY_ALLOWANCE_NS = 60_000_000
-"""A reply that came to an instance this long before the answer has to be in it: two batching
-ticks and the longest one-way delay between regions, doubled."""
+"""A reply that reached an instance this long before the answer must be part of it: two
+batching ticks and the longest one-way delay between regions, doubled."""
 
 
 def check_true_coverage(history: History) -> CheckResult:
-    """Hold the coverage of every answer against what was published and what upstreams ran.
+    """Check the coverage of every answer against published indexes and upstream runs.
 
     - All shards of the named version were asked, so a repartition hides none.
-    - The shards with records and the missing ones are just these shards.
-    - Each counted shard was really run for this operation, at this version, before the
-      answer, and all its records are there.
-    - No shard is missing whose reply had come ``REPLY_ALLOWANCE_NS`` before the answer. A
-      reply that came to another instance than the caller's counts only while no link lost
-      messages and that instance ran on: what a planned stop loses is held against the
-      graceful stop. This part needs ``reply_arrived`` events, which only virtual runs have.
+    - The shards with records and the missing ones are exactly these shards.
+    - Each counted shard was run for this operation, at this version, before the answer, and
+      all its records are included.
+    - No shard is missing whose reply had arrived ``REPLY_ALLOWANCE_NS`` before the answer. A
+      reply that arrived at another instance than the caller's counts only while no link lost
+      messages and that instance kept running: what a planned stop loses is counted by the
+      check of graceful stops. This part needs ``reply_arrived`` events, which only virtual
+      runs record.
 
     Clock: the order of the events of one run.
     """
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/withdrawal.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/withdrawal.py
@@ -1,34 +1,35 @@
-"""Find the times in which a published document kept new work away from upstreams."""
-
 from dataclasses import dataclass
 
 from geraniumlead_standins.history.check_result import CheckResult
 from geraniumlead_standins.history.history import History
 
 WITHDRAWAL_ALLOWANCE_NS = 5_000_000_000
-"""The few seconds that the news may take, counted while the instance can hear it."""
+"""Time in which an instance must learn of a withdrawal, counted while it is connected."""
 
 FOREVER_NS = 1 << 62
 
 
 @dataclass(slots=True, frozen=True)
 class Withdrawal:
-    """Say from when to when an upstream was to get no new work."""
+    """An interval in which published documents say that an upstream gets no new work."""
 
     upstream_id: str
     from_ns: int
     until_ns: int
 
 
-def check_withdrawals(point: str, history: History, withdrawals: list[Withdrawal]) -> CheckResult:
-    """Look for calls that an upstream receives after the news had its time.
+def check_withdrawals(
+    invariant: str, history: History, withdrawals: list[Withdrawal]
+) -> CheckResult:
+    """Check that upstreams receive no calls of informed instances during a withdrawal.
 
-    The time is ``WITHDRAWAL_ALLOWANCE_NS`` in one piece in which the calling instance was
-    joined to the platform (see Reachability): a cut-off instance cannot know, and this bound
-    is exactly what is allowed to it. A call without the calling instance's name is held
-    against the publication alone. Clock: the one that all lines of the run share.
+    An instance counts as informed once it was connected to the platform (see
+    ``Reachability``) for ``WITHDRAWAL_ALLOWANCE_NS`` without a break: an isolated instance
+    cannot know, and nothing more than this is allowed to it. For a call without the name of
+    the calling instance, the time counts from the publication. Clock: the one that all lines
+    of the run share.
     """
-    result = CheckResult(point)
+    result = CheckResult(invariant)
     by_upstream: dict[str, list[Withdrawal]] = {}
     for withdrawal in withdrawals:
         by_upstream.setdefault(withdrawal.upstream_id, []).append(withdrawal)
@@ -42,7 +43,7 @@
                 late_ms = (call.at_ns - withdrawal.from_ns) // 1_000_000
                 caller = call.instance or "an instance"
                 result.add(call.at_ns, f"{call.who}: called by {caller} {late_ms} ms after")
-    # A withdrawal after which no call came at all is an operation that held.
+    # A withdrawal without any later call counts as an operation in which the invariant held.
     result.operations += len(withdrawals)
     return result
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/event.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/event.py
@@ -1,5 +1,3 @@
-"""Define one line of a history; ``docs/reference/history.md`` describes every event."""
-
 from typing import Any
 
 from msgspec import Struct
@@ -8,10 +6,13 @@
 
 
 class HistoryEvent(Struct, kw_only=True, omit_defaults=True):
-    """Say who saw what, and when; fields that an event does not use keep their defaults.
+    """One line of a history; ``docs/reference/history.md`` describes every event.
 
-    ``token`` identifies the operation behind a request: all its attempts share it.
-    ``instance`` is the entry instance that a caller sent to, or that an upstream was called by.
+    ``who`` is the process or component that saw the event at ``at_ns``. Fields that an event
+    does not use keep their defaults. ``token`` identifies the operation of a request: all its
+    attempts share it.
+    ``instance`` is the entry instance that a caller sent the request to, the instance that
+    called an upstream, or the one whose process changed its state.
     """
 
     at_ns: int
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/history.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/history.py
@@ -1,5 +1,3 @@
-"""Hold a whole history in the order of its times."""
-
 from collections import defaultdict
 from collections.abc import Iterable
 from functools import cached_property
@@ -17,7 +15,7 @@
 
 
 class History:
-    """Give the events of a run by kind, request and operation."""
+    """The events of a run in the order of their times, by kind, request and operation."""
 
     def __init__(self, events: Iterable[HistoryEvent]) -> None:
         self.events = sorted(events, key=lambda event: event.at_ns)
@@ -27,7 +25,7 @@
 
     @classmethod
     def from_files(cls, paths: Iterable[Path]) -> "History":
-        """Read JSON lines; a line cut short by a kill is left out."""
+        """Read JSON lines; a last line that a killed process left incomplete is skipped."""
         events = []
         for path in paths:
             for line in path.read_bytes().splitlines(keepends=True):
@@ -36,7 +34,7 @@
         return cls(events)
 
     def get_events(self, *names: str) -> list[HistoryEvent]:
-        """Return the events of some kinds, in order."""
+        """Return the events with one of the given names, in order."""
         if len(names) == 1:
             return self._by_name.get(names[0], [])
         return [event for event in self.events if event.event in names]
@@ -48,27 +46,27 @@
 
     @cached_property
     def sent_by_request(self) -> dict[str, HistoryEvent]:
-        """Return the sending of every request."""
+        """Return the ``sent`` event of every request."""
         return {event.request_id: event for event in self.get_events("sent")}
 
     @cached_property
     def answers_by_request(self) -> dict[str, list[HistoryEvent]]:
-        """Return what each caller saw of its request."""
+        """Return the ``answered`` events of every request."""
         return _group(self.get_events("answered"), "request_id")
 
     @cached_property
     def runs_by_token(self) -> dict[str, list[HistoryEvent]]:
-        """Return the finished runs of every operation."""
+        """Return the ``ran`` events (finished runs) of every operation."""
         return _group(self.get_events("ran"), "token")
 
     @cached_property
     def starts_by_token(self) -> dict[str, list[HistoryEvent]]:
-        """Return the begun runs of every operation."""
+        """Return the ``started`` events of every operation."""
         return _group(self.get_events("started"), "token")
 
     @cached_property
     def shard_counts(self) -> dict[tuple[str, int], int]:
-        """Return the number of shards of every index version that was published."""
+        """Return the number of shards of every published index version, by service and version."""
         counts = {}
         for event in self.get_events("published"):
             if event.key.startswith(INDEX_PREFIX) and event.value is not None:
@@ -87,7 +85,7 @@
 
     @cached_property
     def reachability(self) -> Reachability:
-        """Return when each instance could hear of what was published."""
+        """Return when each instance was able to learn what was published."""
         return Reachability.from_events(self.events)
 
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/reachability.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/reachability.py
@@ -1,5 +1,3 @@
-"""Work out from the faults of a history when an instance could hear of news."""
-
 from collections import defaultdict
 from collections.abc import Iterable
 
@@ -27,11 +25,12 @@
 
 
 class Reachability:
-    """Know the intervals in which an instance was joined to the platform.
+    """The intervals in which each instance was connected to the platform.
 
-    Joined means: alive, not frozen, and linked to a platform that answers with news, by
-    links that were open both ways, directly or through other instances that were alive.
-    An instance is owed nothing outside these intervals: no protocol can tell it anything.
+    Connected means: the instance is alive and not frozen, the platform serves its newest
+    state, and links that are open in both directions lead to the platform, directly or
+    through other instances that are alive and not frozen. The checks require nothing of an
+    instance outside these intervals, as no protocol could inform it there.
     """
 
     def __init__(self) -> None:
@@ -41,7 +40,7 @@
 
     @classmethod
     def from_events(cls, events: Iterable[HistoryEvent]) -> "Reachability":
-        """Replay the faults."""
+        """Compute the intervals by replaying the fault events of a history."""
         found, state, since_ns = cls(), _FaultState(), 0
         for event in events:
             if event.event not in _FAULT_EVENTS:
@@ -53,7 +52,11 @@
         return found
 
     def find_informed_ns(self, instance: str, published_ns: int, duration_ns: int) -> int | None:
-        """Return when the instance had been joined for ``needed_ns`` in one piece, or None."""
+        """Return when the instance must have learned what was published at ``published_ns``.
+
+        This is the end of the first interval of ``duration_ns`` after the publication in which
+        the instance was connected without a break, or None if there is none.
+        """
         for start_ns, end_ns in self._connected[instance]:
             informed_ns = max(start_ns, published_ns) + duration_ns
             if informed_ns <= end_ns:
@@ -61,14 +64,14 @@
         return None
 
     def was_unavailable(self, instance: str, start_ns: int, end_ns: int) -> bool:
-        """Return whether the instance was frozen or not running at any time between."""
+        """Return whether the instance was frozen or not running at any time in the interval."""
         return any(
             from_ns <= end_ns and to_ns >= start_ns
             for from_ns, to_ns in self._unavailable[instance]
         )
 
     def had_message_loss(self, start_ns: int, end_ns: int) -> bool:
-        """Return whether any link was cut or lost messages at any time between."""
+        """Return whether any link was cut or lost messages at any time in the interval."""
         return any(
             from_ns <= end_ns and to_ns >= start_ns for from_ns, to_ns in self._loss_intervals
         )
@@ -85,7 +88,7 @@
 
 
 class _FaultState:
-    """Follow who runs and which links are open."""
+    """The instances that run and the links that are open, as the fault events say."""
 
     def __init__(self) -> None:
         self.running: set[str] = set()
@@ -120,7 +123,7 @@
 
     def find_connected(self) -> set[str]:
         if not self.platform_serves_updates:
-            # Some instance may have the news already, but the history cannot tell which.
+            # Some instances may have the newest state already, but the history cannot tell which.
             return set()
         ends = [*sorted(self.running - self.frozen), PLATFORM]
         graph = networkx.Graph()
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/record_seen.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/record_seen.py
@@ -1,10 +1,8 @@
-"""Define one record of an answer as its caller saw it."""
-
 from msgspec import Struct
 
 
 class RecordSeen(Struct, frozen=True, array_like=True):
-    """Name the shard, the index version and the token of the query that the record echoes."""
+    """One record of an answer as its caller saw it; ``token`` echoes the query's token."""
 
     shard: int
     index_version: int
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/recorder.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/recorder.py
@@ -1,5 +1,3 @@
-"""Keep the lines of a virtual run in memory."""
-
 from collections.abc import Callable
 
 from geraniumlead_standins.history.event import HistoryEvent
@@ -8,7 +6,7 @@
 
 
 class MemoryRecorder:
-    """Note events at virtual times, in the format that processes write to files."""
+    """Records the events of a virtual run in memory, in the format of history files."""
 
     __slots__ = ("_now_ms", "events")
 
@@ -17,6 +15,6 @@
         self.events: list[HistoryEvent] = []
 
     def record(self, who: str, event: str, **fields) -> None:
-        """Append one event."""
+        """Append an event at the current virtual time."""
         at_ns = int(self._now_ms() * NS_PER_MS)
         self.events.append(HistoryEvent(at_ns=at_ns, who=who, event=event, **fields))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/violation.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/violation.py
@@ -1,11 +1,9 @@
-"""Define a broken promise that a check found."""
-
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """Say which point was broken, when, and by what."""
+    """A violation of an invariant that a check found, with its time and cause."""
 
     invariant: str
     at_ns: int
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/writer.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/writer.py
@@ -1,5 +1,3 @@
-"""Write one process's part of a history."""
-
 import time
 from pathlib import Path
 
@@ -7,9 +5,10 @@
 
 
 class HistoryWriter:
-    """Append JSON lines; times are nanoseconds of the machine's monotonic clock.
+    """Writes the events of one process to a file of JSON lines.
 
-    All processes of a run share that clock, so their lines can be put in one order.
+    Times are nanoseconds of the machine's monotonic clock. All processes of a run share that
+    clock, so their lines can be sorted into one order. Without a path, nothing is written.
     """
 
     def __init__(self, path: Path | None, who: str) -> None:
@@ -17,7 +16,7 @@
         self._who = who
 
     def write(self, event: str, **fields) -> None:
-        """Append one line and flush it, so that a killed process loses none."""
+        """Append one line and flush it, so that a killed process loses no events."""
         if self._file is None:
             return
         line = {"at_ns": time.monotonic_ns(), "who": self._who, "event": event, **fields}
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Run real processes under random failure and check the history."""
+"""Run real processes with random failures and check their history."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/__main__.py
@@ -27,7 +27,7 @@
 async def soak(
     layout: Layout, seed: int, duration_s: float, rate_per_s: float
 ) -> tuple[History, dict[str, int]]:
-    """Run for a time and return the history and how often each failure came."""
+    """Run for ``duration_s``; return the history and how often each failure was injected."""
     documents = layout.write_files(seed)
     fleet = Fleet(layout)
     try:
@@ -52,7 +52,7 @@
 
 
 def print_report(history: History, results: list[CheckResult], counts: dict[str, int]) -> None:
-    """Print what was done, what callers saw, and what was broken."""
+    """Print the injected failures, the outcomes that callers saw, and the violations."""
     outcomes = Counter(event.outcome for event in history.get_events("answered"))
     print(f"failures: {counts}")
     print(f"outcomes: {dict(outcomes)}")
@@ -65,7 +65,7 @@
 
 
 def main() -> int:
-    """Soak; exit 1 when a promise was broken."""
+    """Run the soak; return 1 if an invariant was violated."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--duration-s", type=float, default=600.0)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/callers.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/callers.py
@@ -1,5 +1,3 @@
-"""Send lookups and bookings to real instances, and note what comes back."""
-
 import asyncio
 from itertools import count
 from random import Random
@@ -18,7 +16,10 @@
 
 
 class SoakCallers:
-    """Be callers behind a balancer that polls readiness once a second."""
+    """Callers that send lookups and bookings to real instances and record the outcomes.
+
+    They choose instances as a load balancer does that polls readiness once a second.
+    """
 
     def __init__(self, layout: Layout, random: Random) -> None:
         self._layout = layout
@@ -29,7 +30,7 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self, session: ClientSession, duration_s: float, rate_per_s: float) -> None:
-        """Start operations at a steady rate, and wait for all of them."""
+        """Start operations at random intervals with a mean rate, and wait for all of them."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + duration_s
         poll = asyncio.create_task(self._poll(session))
@@ -130,7 +131,7 @@
 
 
 def read_fields(status: int, found: dict) -> dict:
-    """Return what a caller saw, as the fields of an ``answered`` line."""
+    """Return the fields of an ``answered`` event from a response."""
     if "outcome" not in found:
         return {"outcome": "rejected", "reason": f"{status} {found.get('title', '')}"}
     coverage = found.get("coverage", {})
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/chaos.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/chaos.py
@@ -1,5 +1,3 @@
-"""Draw one failure after another from a seed."""
-
 import asyncio
 from random import Random
 
@@ -16,7 +14,7 @@
 
 
 class Chaos:
-    """Do something bad, wait until it is over, and go on with the next."""
+    """Injects random failures one after the other, each after the end of the one before."""
 
     def __init__(
         self, layout: Layout, fleet: Fleet, random: Random, documents: dict[str, object]
@@ -32,7 +30,7 @@
             self._record_publication(key, number + 1, document)
 
     async def run(self, session: ClientSession, duration_s: float) -> None:
-        """Draw failures until the time is over."""
+        """Inject failures until ``duration_s`` is over."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + duration_s
         choices = (
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/fleet.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/fleet.py
@@ -1,5 +1,3 @@
-"""Start, stop, freeze and kill the processes of a soak, and note each change."""
-
 import asyncio
 import signal
 import sys
@@ -14,7 +12,10 @@
 
 
 class Fleet:
-    """Hold the processes that this soak started, and end just those."""
+    """The processes of a soak; starts, stops, freezes and kills them and records each change.
+
+    Only processes that this object started are ended.
+    """
 
     def __init__(self, layout: Layout) -> None:
         self._layout = layout
@@ -37,13 +38,13 @@
             )
 
     async def start_instance(self, name: str) -> None:
-        """Start an instance, or start it anew."""
+        """Start or restart an instance, and wait until it listens."""
         settings = str(self._layout.folder / f"{name}.json")
         self._instances[name] = await self._run(
             name, "-m", "geraniumlead_server.main", "--settings", settings
         )
         self._start_counts[name] = self._start_counts.get(name, 0) + 1
-        # A process that does not listen yet owes no answer: callers see a refused connection.
+        # Until the process listens, callers get a refused connection, so no answer is due yet.
         await self._wait_until_listening(self._layout.address_of(name, 0))
         self._record(name, "process_started")
 
@@ -60,7 +61,7 @@
                 return
 
     def incarnation_of(self, name: str) -> str:
-        """Return which start of an instance is running, as its incarnation."""
+        """Return the number of starts of an instance, as the incarnation that is running."""
         return str(self._start_counts.get(name, 0))
 
     async def kill(self, name: str) -> None:
@@ -70,7 +71,7 @@
         await self._instances[name].wait()
 
     async def freeze(self, name: str, duration_s: float) -> None:
-        """Stop an instance for a while."""
+        """Suspend an instance for ``duration_s``."""
         self._record(name, "frozen")
         self._instances[name].send_signal(signal.SIGSTOP)
         await asyncio.sleep(duration_s)
@@ -78,7 +79,7 @@
         self._record(name, "thawed")
 
     async def stop(self, name: str) -> None:
-        """Ask an instance to stop, and wait for its end."""
+        """Request a graceful stop of an instance and wait; kill it after ``STOP_TIMEOUT_S``."""
         self._record(name, "stop_asked")
         self._instances[name].terminate()
         try:
@@ -89,7 +90,7 @@
         self._record(name, "process_stopped")
 
     async def kill_all(self) -> None:
-        """End what is left."""
+        """Kill all processes that are still running."""
         for process in (*self._instances.values(), *self._dependencies):
             if process.returncode is None:
                 process.kill()
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/layout.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/layout.py
@@ -1,5 +1,3 @@
-"""Lay out two data centres as files for real processes."""
-
 from dataclasses import dataclass
 from hashlib import sha256
 from pathlib import Path
@@ -32,14 +30,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Layout:
-    """Name every process and port of a soak."""
+    """The files, processes and ports of a soak with two data centres."""
 
     folder: Path
     first_port: int
 
     @property
     def platform(self) -> str:
-        """Return where the platform listens."""
+        """Return the address of the platform."""
         return f"{HOST}:{self.first_port}"
 
     @property
@@ -54,7 +52,7 @@
         return f"{HOST}:{self.first_port + 10 + 10 * role + self.instances.index(instance)}"
 
     def control_of(self, data_centre: str) -> str:
-        """Return where faults are set on the upstreams of a data centre."""
+        """Return the address at which faults of a data centre's upstreams are set."""
         return f"{HOST}:{self.first_port + 50 + DATA_CENTRES.index(data_centre)}"
 
     def upstream_ids(self, data_centre: str) -> list[str]:
@@ -62,7 +60,7 @@
         return [f"{SERVICE}-{data_centre}-{number}" for number in range(SHARDS * REPLICAS)]
 
     def history_file(self, name: str) -> Path:
-        """Return the file in which a process writes its part of the history."""
+        """Return the file to which a process writes its part of the history."""
         return self.folder / f"{name}.history"
 
     def write_files(self, seed: int) -> dict[str, object]:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/port_block.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/port_block.py
@@ -1,5 +1,3 @@
-"""Find a block of ports that nobody uses."""
-
 import os
 import socket
 
@@ -11,7 +9,11 @@
 
 
 def find_port_block() -> int:
-    """Return the first port of a free block; runs at the same time begin at different ones."""
+    """Return the first port of a free block.
+
+    The search begins at a block that depends on the process id, so that concurrent runs mostly
+    try different blocks first.
+    """
     for turn in range(BLOCKS):
         block = (os.getpid() + turn) % BLOCKS
         first = FIRST_PORT + block * PORTS_PER_BLOCK
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/status_poller.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/status_poller.py
@@ -1,5 +1,3 @@
-"""Note which configuration each instance says it acts on."""
-
 import asyncio
 
 from aiohttp import ClientError, ClientSession, ClientTimeout
@@ -12,7 +10,7 @@
 
 
 class StatusPoller:
-    """Poll the operators' status page of every instance.
+    """Polls the status page of every instance and records the configuration in force.
 
     The page names one revision; a document counts as in force at its newest revision up to
     that one. ``published`` maps a key to its revisions, in order.
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/__init__.py
@@ -1,4 +1,4 @@
-"""Drive instances in virtual time with small fakes of upstreams, links and platform."""
+"""Run instances in virtual time against fake upstreams, links and a fake platform."""
 
 from geraniumlead_standins.virtual.event_queue import EventQueue
 from geraniumlead_standins.virtual.fake_link import FakeLink
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/event_queue.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/event_queue.py
@@ -1,12 +1,13 @@
-"""Run callbacks in the order of their virtual times."""
-
 from collections.abc import Callable
 from heapq import heappop, heappush
 from itertools import count
 
 
 class EventQueue:
-    """Keep what happens when; equal times run in the order in which they were added."""
+    """A queue that runs callbacks in the order of their virtual times.
+
+    Callbacks with the same time run in the order in which they were added.
+    """
 
     __slots__ = ("_heap", "_serial", "now_ms")
 
@@ -16,11 +17,11 @@
         self._serial = count()
 
     def add(self, at_ms: float, callback: Callable[[], None]) -> None:
-        """Run ``callback`` at a time; a time in the past means now."""
+        """Schedule ``callback`` for ``at_ms``; a time in the past means now."""
         heappush(self._heap, (max(at_ms, self.now_ms), next(self._serial), callback))
 
     def run_until(self, end_ms: float) -> None:
-        """Run everything that happens up to and at ``end_ms``."""
+        """Run all callbacks that are due at or before ``end_ms``, and advance the time to it."""
         while self._heap and self._heap[0][0] <= end_ms:
             self.now_ms, _, callback = heappop(self._heap)
             callback()
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_link.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_link.py
@@ -1,13 +1,11 @@
-"""Delay, lose and cut what passes between two ends."""
-
 from random import Random
 
 
 class FakeLink:
-    """Give each message its delay, or lose it.
+    """A simulated network that delays, loses or blocks messages between endpoints.
 
-    Ends are names of instances, of upstreams, or ``platform``. ``cut`` holds ordered pairs,
-    so a cut may be one-way.
+    An endpoint is the name of an instance or an upstream, or ``platform``. ``cut`` holds
+    ordered (sender, receiver) pairs, so a link can be cut in one direction only.
     """
 
     __slots__ = ("_delays_ms", "_random", "cut", "default_delay_ms", "jitter", "loss")
@@ -21,11 +19,11 @@
         self.cut: set[tuple[str, str]] = set()
 
     def set_delay(self, sender: str, receiver: str, delay_ms: float) -> None:
-        """Set the one-way delay between two ends."""
+        """Set the one-way delay between two endpoints."""
         self._delays_ms[sender, receiver] = delay_ms
 
     def cut_between(self, group: set[str], others: set[str]) -> None:
-        """Cut both directions between two groups of ends."""
+        """Cut both directions between two groups of endpoints."""
         for member in group:
             for other in others:
                 self.cut |= {(member, other), (other, member)}
@@ -35,7 +33,7 @@
         self.cut.clear()
 
     def draw_delay_ms(self, sender: str, receiver: str) -> float | None:
-        """Return the delay of one message, or None when it is lost."""
+        """Return the delay of one message, or None if it is lost."""
         if (sender, receiver) in self.cut:
             return None
         if self.loss and self._random.random() < self.loss:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_platform.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_platform.py
@@ -1,10 +1,12 @@
-"""Hold what operators published, for reads and watches in virtual time."""
-
 from geraniumlead.documents import VersionedValue
 
 
 class FakePlatform:
-    """Keep documents and revisions; may be down, slow, or serve an old copy."""
+    """The documents that operators published, for reads and watches in virtual time.
+
+    ``is_down`` and ``delay_ms`` are applied by ``VirtualRun``. With ``stale_at_revision``,
+    readers see only the state at that revision.
+    """
 
     __slots__ = ("_changes", "calls", "delay_ms", "is_down", "revision", "stale_at_revision")
 
@@ -17,7 +19,7 @@
         self.calls = 0
 
     def publish(self, values: dict[str, bytes | None]) -> tuple[VersionedValue, ...]:
-        """Publish values, each at a revision of its own; None deletes."""
+        """Publish values, each with its own revision; None deletes the key."""
         published = []
         for key, value in values.items():
             self.revision += 1
@@ -26,17 +28,17 @@
         return tuple(published)
 
     def restore(self, revision: int) -> None:
-        """Go back to a backup: later changes are lost and their revisions used again."""
+        """Restore the backup of a revision: later changes are lost, their revisions are reused."""
         self._changes = [change for change in self._changes if change.revision <= revision]
         self.revision = revision
 
     def check(self) -> int:
-        """Return the revision that a reader sees now."""
+        """Return the revision that readers see now, and count the call."""
         self.calls += 1
         return self.revision if self.stale_at_revision is None else self.stale_at_revision
 
     def read(self) -> tuple[int, tuple[VersionedValue, ...]]:
-        """Return the revision and live documents that a reader sees now."""
+        """Return the revision and the documents (without deleted ones) that readers see now."""
         visible_revision = self.check()
         newest = {
             change.key: change for change in self._changes if change.revision <= visible_revision
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_upstream.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_upstream.py
@@ -1,5 +1,3 @@
-"""Answer subqueries in virtual time as one upstream does."""
-
 import math
 from collections import deque
 from collections.abc import Callable
@@ -25,7 +23,7 @@
 DOWN_AFTER_CRASH_MS = 2_000.0
 LONG_QUERY_TEXT = b"long job"
 LONG_QUERY_FACTOR = 50.0
-"""A query with this text runs so many times longer than the others."""
+"""A query that contains ``LONG_QUERY_TEXT`` takes this many times as long as others."""
 
 MAX_QUEUED_PER_SLOT = 8
 
@@ -33,7 +31,7 @@
 
 
 def read_token(query: bytes) -> str:
-    """Return the token in a query's JSON text; empty when it has none."""
+    """Return the token of a query, or an empty string if its text is no JSON or has none."""
     try:
         found = decode(query)
     except DecodeError:
@@ -43,7 +41,7 @@
 
 @dataclass(slots=True)
 class AcceptedCall:
-    """Remember one call in the upstream."""
+    """A call that the upstream has accepted, running or queued."""
 
     subquery: Subquery
     answer: AnswerCallback
@@ -53,14 +51,20 @@
 
 @dataclass(slots=True)
 class FakeUpstream:
-    """Run at most ``slots`` calls at once; queue some and shed the rest.
-
-    While ``cold_answers_left`` is above 0, more than ``cold_allowance`` calls at once make it
-    fall over. A query whose text holds ``crash_text`` crashes it. ``holds`` maps index
-    versions to shards; with ``answers_newest`` a shard of a version that is gone is answered
-    from the newest one held. A restart, fall or crash closes all connections: ``restarts``
-    counts these and ``on_disconnect`` hears of them. ``log`` gets every receipt, start, run,
-    end, crash and turn, for histories. Each record echoes the query's ``token``.
+    """A simulated upstream that answers subqueries in virtual time.
+
+    It runs at most ``slots`` calls at once, queues up to ``MAX_QUEUED_PER_SLOT`` per slot and
+    sheds the rest. While ``cold_answers_left`` is above 0, more than ``cold_allowance`` calls
+    at once (running and queued) overload it: it goes down, and ``fallen`` counts this. A query
+    whose text contains ``crash_text`` crashes it.
+
+    ``holds`` maps index versions to shards. With ``answers_newest``, a subquery for a version
+    that the upstream no longer holds is answered from the newest version that has the shard.
+
+    A restart, an overload or a crash closes all connections: ``restarts`` counts these and
+    ``on_disconnect`` is called each time. ``log`` is called for every call that is received,
+    started, run or ended, for every crash or overload, and when the upstream turns cold or
+    warm; histories are built from it. Each record echoes the ``token`` of the query.
     """
 
     upstream_id: str
@@ -93,7 +97,12 @@
     def receive(
         self, subquery: Subquery, answer: AnswerCallback, caller: str = ""
     ) -> AcceptedCall | None:
-        """Take a call; ``answer`` is called once, later, unless the upstream is silent."""
+        """Accept or refuse a call.
+
+        ``answer`` is called once: at once for a call that is refused or takes the upstream
+        down, otherwise later. Calls that are cancelled, or finish while the upstream is
+        silent, get no answer.
+        """
         self.received += 1
         if self.queue.now_ms < self.down_until_ms:
             answer(NotReached("connection refused"))
@@ -121,7 +130,7 @@
         return call
 
     def cancel(self, call: AcceptedCall) -> None:
-        """Give up a call: a waiting one never runs, a running one frees its slot."""
+        """Cancel a call: a queued one never runs, a running one frees its slot."""
         call.is_cancelled = True
         if call in self._waiting:
             self._waiting.remove(call)
@@ -132,12 +141,12 @@
             self._start_waiting()
 
     def restart(self, cold_answers: int) -> None:
-        """Lose all calls and come back cold."""
+        """Drop all calls and become cold."""
         self._drop_all_calls()
         self.turn_cold(cold_answers)
 
     def turn_cold(self, cold_answers: int, reason: str = "") -> None:
-        """Be cold from now on, without a word to anyone."""
+        """Become cold from now on, without notifying any instance."""
         self.cold_answers_left = cold_answers
         self.log(event="turned_cold", allowance=self.cold_allowance, reason=reason)
 
@@ -180,8 +189,8 @@
     def _version_for(self, subquery: Subquery) -> int | None:
         if subquery.shard in self.holds.get(subquery.index_version, ()):
             return subquery.index_version
-        held = [version for version, shards in self.holds.items() if subquery.shard in shards]
-        return max(held) if held and self.answers_newest else None
+        versions = [version for version, shards in self.holds.items() if subquery.shard in shards]
+        return max(versions) if versions and self.answers_newest else None
 
     def _build_records(self, subquery: Subquery, was_cold: bool) -> Records:
         version = self._version_for(subquery) or subquery.index_version
@@ -208,11 +217,11 @@
             record_count=record_count,
         )
 
-    def _go_down(self, event: str, last: AcceptedCall) -> None:
-        self._log_call(event, last)
-        self._log_call("ended", last)
+    def _go_down(self, event: str, call: AcceptedCall) -> None:
+        self._log_call(event, call)
+        self._log_call("ended", call)
         self.down_until_ms = self.queue.now_ms + DOWN_AFTER_CRASH_MS
-        last.answer(ConnectionLost(event))
+        call.answer(ConnectionLost(event))
         self._drop_all_calls()
         if event == "crashed" and self.cold_after_crash:
             self.turn_cold(self.cold_after_crash)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/small_cluster.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/small_cluster.py
@@ -1,4 +1,4 @@
-"""Build a small cluster in virtual time: one service, a few data centres."""
+"""Build a small cluster in virtual time: one service in a few data centres."""
 
 from dataclasses import dataclass
 from hashlib import sha256
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClusterSize:
-    """Set the size of a small cluster; upstreams and instances are for each data centre."""
+    """The size of a small cluster; ``instances`` and ``replicas`` are per data centre."""
 
     data_centres: tuple[str, ...] = ("noord",)
     instances: int = 2
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class SmallCluster:
-    """Hold a run and the names in it."""
+    """A virtual run with its size and the settings of its instances by name."""
 
     run: VirtualRun
     size: ClusterSize
@@ -56,7 +56,7 @@
         timing: TimingSettings | None = None,
         run: VirtualRun | None = None,
     ) -> "SmallCluster":
-        """Publish the documents, and start upstreams and instances, in ``run`` if given."""
+        """Publish the documents and start upstreams and instances, in ``run`` if it is given."""
         run = run or VirtualRun(seed)
         run.publish({key: encode(value) for key, value in _build_documents(size, contract).items()})
         for entry, shard in _list_upstreams(size):
@@ -77,7 +77,7 @@
 
 
 def default_contract() -> ContractDocument:
-    """Return a wide contract with a lookup class and a booking class."""
+    """Return a contract with high limits, a lookup class and a booking class."""
     return ContractDocument(
         customer=CUSTOMER,
         credentials_sha256=[sha256(CREDENTIAL.encode()).hexdigest()],
@@ -154,7 +154,7 @@
 
 
 def build_index(size: ClusterSize, version: int) -> IndexDocument:
-    """Return an index version that every data centre holds whole."""
+    """Return an index version of which every data centre holds all shards."""
     upstreams = _list_upstreams(size)
     return IndexDocument(
         service=SERVICE,
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/virtual_instance.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/virtual_instance.py
@@ -1,5 +1,3 @@
-"""Host one instance in a virtual run."""
-
 from collections import deque
 from dataclasses import dataclass, field
 
@@ -9,7 +7,12 @@
 
 @dataclass(slots=True)
 class VirtualInstance:
-    """Hold an instance and whether its process runs, is frozen or is gone."""
+    """An instance in a virtual run with the state of its simulated process.
+
+    ``pending_events`` holds the events that arrived while the process was frozen.
+    ``watch_number`` identifies the newest read or watch of the platform; answers to older
+    ones are dropped.
+    """
 
     instance: Instance
     is_alive: bool = True
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/virtual_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/virtual_run.py
@@ -1,5 +1,3 @@
-"""Run instances, upstreams and a platform in one process, in virtual time."""
-
 from collections.abc import Callable
 from random import Random
 
@@ -35,14 +33,15 @@
 PLATFORM = "platform"
 PLATFORM_RETRY_MS = 500.0
 WATCH_CHECK_MS = 1_000.0
-"""A watcher asks at this interval whether its watch missed anything, as the client does."""
+"""Interval at which a watcher checks whether its watch missed changes, as the client does."""
 
 AnswerObserver = Callable[[str, AnswerCaller | AnswerTicketRequest, float], None]
 
 
 class VirtualRun:
-    """Carry the actions of instances to fakes and what comes of them back as events.
+    """Runs instances, upstreams and a platform in one process and in virtual time.
 
+    It executes the actions of instances on the fakes, and delivers the results as events.
     All randomness comes from ``seed``, so a run gives the same history each time.
     ``on_answer`` is called with the instance's name, the action and the time.
     """
@@ -64,7 +63,7 @@
 
     @property
     def now_ms(self) -> float:
-        """Return the virtual time."""
+        """Return the current virtual time."""
         return self.queue.now_ms
 
     def add_upstream(self, address: str, upstream_id: str, **changes) -> FakeUpstream:
@@ -76,7 +75,7 @@
         return upstream
 
     def start_instance(self, settings: InstanceSettings) -> Instance:
-        """Start, or start anew, the process of an instance."""
+        """Start or restart the process of an instance."""
         name = settings.instance_id
         instance = Instance(settings, Random(self.random.random()), self.now_ms)
         self.instances[name] = VirtualInstance(instance)
@@ -85,7 +84,7 @@
         return instance
 
     def publish(self, values: dict[str, bytes | None]) -> None:
-        """Publish documents; watchers that reach the platform hear of them."""
+        """Publish documents; watchers that can reach the platform receive them."""
         before = self.platform.revision
         published = self.platform.publish(values)
         revision = self.platform.revision
@@ -93,7 +92,7 @@
             if not host.is_watching or self.platform.stale_at_revision is not None:
                 continue
             if not self._is_platform_reachable(name):
-                # The watch is cut off: its client notices the silence and reads again.
+                # The watch has lost its connection: its client detects the silence and reads again.
                 self._read_platform(name, ReadPlatform(watch=True))
             else:
                 event = DocumentsReceived(revision, published, False, above_revision=before)
@@ -103,13 +102,13 @@
                 self.queue.add(self.now_ms + delay_ms, lambda n=name, e=event: self.deliver(n, e))
 
     def restart_watches(self) -> None:
-        """Let every watcher read anew, as after a restart of the platform."""
+        """Make every watcher read again, as after a restart of the platform."""
         for name, host in list(self.instances.items()):
             if host.is_alive and host.is_watching:
                 self._read_platform(name, ReadPlatform(watch=True))
 
     def kill(self, name: str) -> None:
-        """End a process without notice; its calls are cut off."""
+        """End a process without notice; its calls to upstreams are cancelled."""
         self.instances[name].is_alive = False
         for (caller, call_id), (upstream, running) in list(self._calls.items()):
             if caller == name:
@@ -118,11 +117,11 @@
                     upstream.cancel(running)
 
     def freeze(self, name: str) -> None:
-        """Stop a process; what arrives waits for it."""
+        """Suspend a process; events that arrive are kept until it resumes."""
         self.instances[name].is_frozen = True
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on with what arrived meanwhile."""
+        """Resume a frozen process and deliver the events that arrived meanwhile."""
         host = self.instances[name]
         host.is_frozen = False
         while host.pending_events:
@@ -130,7 +129,7 @@
         self.deliver(name, TimerFired())
 
     def deliver(self, name: str, event: Event) -> None:
-        """Pass an event to an instance now."""
+        """Deliver an event to an instance now, or keep it while the process is frozen."""
         host = self.instances.get(name)
         if host is None or not host.is_alive:
             return
@@ -213,7 +212,7 @@
             if delay_ms is not None:
                 self.queue.add(self.now_ms + delay_ms, lambda: self._end_call(name, action, found))
 
-        # What was under way on a connection from before a restart never reaches the upstream.
+        # A call in transit on a connection from before a restart never reaches the upstream.
         if upstream.restarts != restarts:
             self._connections.pop((name, upstream.upstream_id), None)
             answer(ConnectionLost("reset"))
@@ -223,10 +222,10 @@
             self._calls[name, action.call_id] = (upstream, running)
 
     def _end_call(self, name: str, action: CallUpstream, answer: UpstreamAnswer) -> None:
-        held = self._calls.pop((name, action.call_id), None)
-        if held is None:
+        call_state = self._calls.pop((name, action.call_id), None)
+        if call_state is None:
             return
-        upstream, running = held
+        upstream, running = call_state
         self.on_reply(name, action, answer)
         if isinstance(answer, TimedOut) and running is not None:
             upstream.cancel(running)
@@ -241,7 +240,7 @@
         delay_ms = self.link.draw_delay_ms(name, action.instance_id)
         if delay_ms is None:
             return
-        # Through the codec, so that a run sees just what two processes would.
+        # Encoded and decoded, so that the receiver sees exactly what another process would.
         message = decode_message(encode_message(action.message))
         event = PeerMessageReceived(name, message)
         self.queue.add(self.now_ms + delay_ms, lambda: self.deliver(action.instance_id, event))
--- a/packages/geraniumlead-standins/tests/standins_tests/builders.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/builders.py
@@ -1,4 +1,4 @@
-"""Build small histories; times are given in milliseconds."""
+"""Build small histories; times are in milliseconds."""
 
 from geraniumlead_standins.history import History, HistoryEvent, RecordSeen
 
@@ -6,7 +6,7 @@
 
 
 def event_at(time_ms: float, who: str, event: str, **fields) -> HistoryEvent:
-    """Return one event."""
+    """Return an event at a time."""
     return HistoryEvent(at_ns=int(time_ms * NS_PER_MS), who=who, event=event, **fields)
 
 
@@ -20,7 +20,7 @@
 def publish_upstreams(
     time_ms: float = 0.0, states: dict[str, str] | None = None, revision: int = 10
 ) -> HistoryEvent:
-    """Return the publication of the upstreams of noord with their states."""
+    """Return the publication of the upstream list of noord with the given states."""
     states = states or {"u0": "serving", "u1": "serving"}
     entries = [{"upstream_id": name, "state": state} for name, state in states.items()]
     value = {"data_centre": "noord", "upstreams": entries}
@@ -41,13 +41,13 @@
 
 
 def send(time_ms: float = 10.0, request_id: str = "r1", **changes) -> HistoryEvent:
-    """Return the sending of a request to instance a."""
+    """Return the ``sent`` event of a request to instance ``a``."""
     values = {"token": "t1", "instance": "a", "service": "ledger", "deadline_ms": 100.0}
     return event_at(time_ms, "caller", "sent", request_id=request_id, **(values | changes))
 
 
 def run_shard(time_ms: float, shard: int, **changes) -> list[HistoryEvent]:
-    """Return the beginning and the end of a run on one upstream."""
+    """Return the start and the end of a run on the upstream of a shard."""
     values = {"request_id": "r1", "token": "t1", "index_version": 1, "shard": shard}
     values |= changes
     who = f"u{shard}"
@@ -58,7 +58,7 @@
 
 
 def answer(time_ms: float = 20.0, shards: tuple[int, ...] = (0, 1), **changes) -> HistoryEvent:
-    """Return a whole answer of version 1 with one record a shard."""
+    """Return a whole answer of version 1 with one record per shard."""
     values = {
         "request_id": "r1",
         "outcome": "whole",
@@ -71,7 +71,7 @@
 
 
 def build_served_history(*changes: HistoryEvent) -> History:
-    """Return the history of one request that was answered whole, with more events."""
+    """Return the history of a request whose two shards ran, with further events."""
     events = [publish_index(), publish_upstreams(), start_process(), send()]
     events += run_shard(12.0, 0) + run_shard(12.0, 1)
     return History([*events, *changes])
--- a/packages/geraniumlead-standins/tests/standins_tests/histories/test_scenarios.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/histories/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Test all ten promises over histories in virtual time."""
+"""Test all ten invariants over histories in virtual time."""
 
 from unittest import TestCase
 
@@ -63,10 +63,15 @@
         self.assertEqual(scenario.run().events, scenario.run().events)
 
     def test_seeds_that_found_a_fault(self):
-        """Seed 1 of a repartition answered from the new version ran bookings twice; seed 1 of
-        a centre that returns cold lost a reply in a stopping owner; seed 1 of a crash query
-        ended the process in the admission's arithmetic; seed 65133 of an upstream that comes
-        back cold made it fall over, since its owner took it for as warm as before."""
+        """Scenarios that once revealed faults.
+
+        - "newest answered", seed 1: a repartition answered from the new version ran bookings
+          twice.
+        - "centre returns cold", seed 1: an owner lost a reply while it stopped.
+        - "crash query", seed 1: an arithmetic error in the admission ended the process.
+        - "upstream returns cold", seed 65133: the upstream went down from overload, as its
+          owner assumed that it was as warm as before.
+        """
         for seed, failure in (
             (1, "newest answered"),
             (1, "centre returns cold"),
--- a/packages/geraniumlead-standins/tests/standins_tests/history/checks/test_answers.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/history/checks/test_answers.py
@@ -1,4 +1,4 @@
-"""Test the checks of what callers receive: each catches a breach and lets an odd case be."""
+"""Test the checks of answers: each reports violations and accepts unusual valid cases."""
 
 from unittest import TestCase
 
--- a/packages/geraniumlead-standins/tests/standins_tests/history/checks/test_operations.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/history/checks/test_operations.py
@@ -1,4 +1,4 @@
-"""Test the checks of what operators and the platform do to the system."""
+"""Test the checks of cold starts, withdrawals, planned stops and configuration."""
 
 from unittest import TestCase
 
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/builders.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/builders.py
@@ -12,14 +12,14 @@
 from geraniumlead_standins.virtual.small_cluster import ClusterSize, SmallCluster
 
 SETTLED_MS = 4_000.0
-"""Time after which the slots of upstreams in cold start may be used, and some more."""
+"""Time after which slots of upstreams in cold start may be used, with a margin."""
 
 WARM_UP_QUERIES = 4
 
 
 @dataclass(slots=True)
 class RecordedCluster:
-    """Hold a cluster, its calls to upstreams (time, instance, address) and its outcomes."""
+    """A cluster, its calls to upstreams (time, instance, address), its outcomes and reports."""
 
     cluster: SmallCluster
     calls: list[tuple[float, str, str]] = field(default_factory=list)
@@ -46,7 +46,7 @@
         self.run.queue.run_until(self.run.now_ms + duration_ms)
 
     def settle(self) -> None:
-        """Let the cluster start, and prove its upstreams warm to every instance."""
+        """Let the cluster start, and let every instance find its upstreams warm."""
         self.run_for(SETTLED_MS)
         for number in range(WARM_UP_QUERIES):
             for name in self.run.instances:
@@ -82,17 +82,17 @@
         self.run.deliver(name, QueryArrived(request))
 
     def set_data_centre(self, name: str, state: str) -> None:
-        """Take a data centre out or in."""
+        """Publish the state of a data centre, ``in`` or ``out``."""
         key = document_key(DocumentKind.DATA_CENTRE, name)
         document = DataCentreDocument(name=name, region=name, state=state)
         self.run.publish({key: encode(document)})
 
     def instance(self, name: str):
-        """Return a state machine."""
+        """Return the state machine of an instance."""
         return self.run.instances[name].instance
 
     def revisions(self) -> set[int]:
-        """Return the revisions in force on the living instances."""
+        """Return the revisions in force on the instances that are alive."""
         return {
             host.instance.parts.store.revision
             for host in self.run.instances.values()
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_large_documents.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_large_documents.py
@@ -1,4 +1,4 @@
-"""Test what large documents cost the instances that spread them."""
+"""Test how many copies of a large document instances send."""
 
 from collections import Counter
 from unittest import TestCase
@@ -34,9 +34,9 @@
     def test_no_instance_sends_it_to_all_others(self):
         """A list of upstreams changes in a data centre of 60 instances.
 
-        If the watchers sent the whole list to each peer, 230 copies would wait in the memory
-        of each at the target, tens of megabytes. Each instance passes on a few copies, and all
-        have it within a second and a half.
+        If the watchers sent the whole list to each peer, each would hold 230 copies in memory
+        at the target size, tens of megabytes. Instead each instance forwards a few copies, and
+        all have the list within 1.5 s.
         """
         recorded = RecordedCluster.from_size(SIZE)
         recorded.run_for(SETTLED_MS)
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_leaving.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_leaving.py
@@ -1,4 +1,4 @@
-"""Test data centres and instances that leave and come back."""
+"""Test data centres and instances that leave and return."""
 
 from unittest import TestCase
 
@@ -23,7 +23,7 @@
 
 
 def build_warm(size: ClusterSize, timing: TimingSettings | None = None) -> RecordedCluster:
-    """Return a cluster whose upstreams have all shown that they are warm."""
+    """Return a cluster that has found all its upstreams warm."""
     recorded = RecordedCluster.from_size(size, 1, timing)
     recorded.run_for(SETTLED_MS)
     ask_everywhere(recorded, "warm", 2)
@@ -35,7 +35,7 @@
 
 
 def ask_everywhere(recorded: RecordedCluster, prefix: str, seconds: int) -> None:
-    """Send every living instance a lookup each 100 ms."""
+    """Send a lookup every 100 ms to each instance that is alive and not stopping."""
     for number in range(seconds * 10):
         for name, host in recorded.run.instances.items():
             if host.is_alive and not host.instance.parts.lifecycle.is_stopping:
@@ -106,8 +106,8 @@
     def test_an_owner_that_stops_loses_no_peers_work(self):
         """In a large data centre most subqueries go through owners, and owners are replaced.
 
-        One after another is asked to stop under load. Callers see whole answers only: the
-        owner says goodbye, peers route around it, and it ends the work that it has.
+        Three are asked to stop under load, one after the other. Callers must see whole answers
+        only: the owner sends a goodbye, peers avoid it, and it finishes its running work.
         """
         recorded = build_warm(LARGE_CENTRE)
         for number in range(3):
@@ -126,8 +126,8 @@
     def test_waits_for_a_slow_subquery_that_it_runs_for_a_peer(self):
         """A peer's subquery takes a second on an upstream that this instance owns.
 
-        The owner has no query of its own. Without counting the peer's work it would exit
-        after the notice and the peer's caller would lose the shard.
+        The owner has no query of its own. If it did not count the peer's work, it would exit
+        after the notice time and the peer's caller would lose the shard.
         """
         recorded = build_warm(LARGE_CENTRE, TimingSettings(stop_notice_ms=100.0))
         for upstream in recorded.run.upstreams.values():
@@ -144,7 +144,7 @@
         self.assertTrue(recorded.outcomes["slow"].coverage.is_whole)
 
     def test_waits_for_a_forwarded_booking(self):
-        """A booking's ticket was issued by another instance; the one that stops waits for it."""
+        """A stopping instance waits for a booking that it forwarded to the ticket's issuer."""
         recorded = build_settled()
         for upstream in recorded.run.upstreams.values():
             upstream.median_ms, upstream.sigma = 4_000.0, 0.0
@@ -170,7 +170,7 @@
             upstream.is_silent = True
         recorded.run.deliver("noord-0", StopRequested())
         for second in range(29):
-            # Its balancer never notices: there is always a request open.
+            # The balancer never notices the stop, so a request is always open.
             recorded.ask("noord-0", f"r{second}", allowed_ms=2_500.0)
             recorded.run.deliver("noord-0", StopRequested())
             recorded.run_for(1_000.0)
@@ -215,8 +215,8 @@
         """An owner is killed while it runs a peer's slow subqueries; no hedge is possible.
 
         Each shard has one replica, so only another owner of the same upstream can help. The
-        caller has ten seconds. Without a look at lost owners the shards would be missing when
-        they are over; they are asked again once the owner counts as unreachable.
+        caller's deadline is ten seconds. Without a check for lost owners, the shards would be
+        missing at the deadline; they are retried once the owner counts as unreachable.
         """
         recorded = build_warm(LARGE_CENTRE)
         for upstream in recorded.run.upstreams.values():
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_pause.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_pause.py
@@ -1,4 +1,4 @@
-"""Test processes that are frozen and wake up with an old view."""
+"""Test processes that are frozen and resume with a stale view."""
 
 from unittest import TestCase
 
@@ -32,12 +32,13 @@
 
 
 class PauseTests(TestCase):
-    def test_wakes_without_sending_to_a_data_centre_that_was_taken_out(self):
-        """The caller's request waits in the socket of an instance that is frozen.
+    def test_resumes_without_sending_to_a_data_centre_that_was_taken_out(self):
+        """A request waits in the socket of a frozen instance.
 
-        Operators take the instance's data centre out meanwhile. At its wake the instance
-        reads the request before the news. Without the hold it calls upstreams of the data
-        centre seconds after they were taken out.
+        Operators take the instance's data centre out meanwhile. When it resumes, the instance
+        reads the request before the new configuration. If it did not hold requests until its
+        view is confirmed, it would call upstreams of the data centre seconds after they were
+        taken out.
         """
         unguarded = freeze_while_noord_is_taken_out(SAFEGUARD_OFF)
         self.assertGreater(calls_to_noord(unguarded), 0)
@@ -46,7 +47,7 @@
         self.assertIsInstance(guarded.outcomes["r1"], Answered)
 
     def test_a_request_that_cannot_wait_is_refused_as_not_run(self):
-        """A caller gives 10 ms to an instance that just woke and asks its peers first."""
+        """A request has 10 ms left at an instance that just resumed and asks its peers first."""
         recorded = RecordedCluster.from_size(TWO_CENTRES)
         recorded.settle()
         recorded.run.freeze("noord-0")
@@ -58,10 +59,12 @@
         self.assertEqual([], recorded.calls)
 
     def test_buffered_messages_confirm_nothing(self):
-        """What waited in the sockets is as old as the pause, so it must not end the hold.
+        """Messages that waited in the sockets are as old as the pause, so they must not end
+        the hold.
 
-        The instance is cut off just before it wakes: heartbeats and documents of before the
-        cut are read, but no probe is answered. The request is refused when its time is over.
+        The instance is isolated from the platform and all peers just before it resumes. It
+        reads heartbeats and documents from before that, but no probe is answered. The request
+        is refused at its deadline.
         """
         recorded = RecordedCluster.from_size(TWO_CENTRES)
         recorded.settle()
@@ -76,8 +79,12 @@
         self.assertEqual([], recorded.calls)
         self.assertEqual(NotRun(RefusalReason.STALE_VIEW, 250.0), recorded.outcomes["r1"])
 
-    def test_serves_on_when_nobody_answers_for_the_bound(self):
-        """Cut off alone, to refuse for good would lose what the cut left over."""
+    def test_keeps_serving_when_nobody_answers_within_the_bound(self):
+        """An isolated instance holds requests only for a bounded time.
+
+        If it refused all requests from then on, callers would lose the service that it can
+        still give.
+        """
         recorded = RecordedCluster.from_size(TWO_CENTRES)
         recorded.settle()
         recorded.run.freeze("noord-0")
@@ -97,10 +104,10 @@
         self.assertIsNone(status.view_unconfirmed_ms)
 
     def test_queued_calls_and_retries_are_held(self):
-        """A query is open on slow upstreams when the instance freezes, with calls queued.
+        """Queries are open when the instance freezes, with calls queued.
 
-        The answers that wake it make room in the queues; the queued calls must not start
-        on upstreams of a data centre that was taken out meanwhile.
+        The answers that it reads first when it resumes free slots; the queued calls must not
+        start on upstreams of a data centre that was taken out meanwhile.
         """
         size = ClusterSize(
             data_centres=("noord", "zuid"), instances=1, shards=2, replicas=1, slots=1
@@ -122,10 +129,11 @@
             self.assertIn(f"r{number}", recorded.outcomes)
 
     def test_repeat_of_a_booking_that_ran_is_never_refused_as_not_run(self):
-        """A booking runs, its instance is frozen, and the caller sends it again at the wake.
+        """A booking runs, its instance is frozen, and the caller repeats it at the resume.
 
-        The repeat has 10 ms left and the view is not confirmed yet. Refused as not run, its
-        caller would book anew with another ticket; it gets the outcome of the first instead.
+        The repeat has 10 ms left and the view is not confirmed yet. If it were refused as not
+        run, its caller would book again with another ticket; it gets the outcome of the first
+        attempt instead.
         """
         recorded = RecordedCluster.from_size(TWO_CENTRES)
         recorded.settle()
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_spread.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_spread.py
@@ -1,4 +1,4 @@
-"""Test how fast and how surely a change comes into force everywhere."""
+"""Test how fast and how reliably a change comes into force on all instances."""
 
 from unittest import TestCase
 
@@ -50,10 +50,11 @@
         self.assertEqual(2, len(watchers_of(recorded, "noord")))
 
     def test_in_force_in_time_when_all_watchers_are_killed(self):
-        """Both watchers of both data centres die, and a change is published just then.
+        """Both watchers of both data centres are killed, and a change is published just then.
 
-        Nobody hears the platform any more, and the list still names the dead. The others
-        notice by the age of the news and read in their own time.
+        No instance watches the platform any more, and the list still names the killed ones.
+        The others detect it by the age of their updates, and each reads the platform at its
+        own time.
         """
         for seed in range(5):
             recorded = build_settled(seed)
@@ -82,10 +83,10 @@
             self.assertEqual({77.0}, rates_in_force(recorded))
 
     def test_in_force_in_time_in_a_large_data_centre_when_half_of_the_messages_are_lost(self):
-        """Questions and their answers are lost too, three of four together.
+        """Requests for documents and their answers are lost too: three in four exchanges fail.
 
-        An instance that asks one peer in each beat has a chance of one in four each time;
-        among 60 there is always one that is unlucky for six seconds.
+        An instance that asks one peer per heartbeat succeeds with probability 1/4 each time;
+        among 60 instances there is always one that fails for six seconds.
         """
         recorded = RecordedCluster.from_size(ClusterSize(instances=60, shards=1))
         recorded.run_for(SETTLED_MS)
@@ -107,7 +108,7 @@
         self.assertLessEqual(reads_per_s, 2 * 4.0 * 1.25)
         self.assertEqual({recorded.run.platform.revision}, recorded.revisions())
 
-    def test_comes_back_to_one_configuration_after_a_cut(self):
+    def test_converges_to_one_configuration_after_a_cut(self):
         recorded = build_settled()
         noord = {name for name in recorded.run.instances if name.startswith("noord")}
         others = {name for name in recorded.run.instances if name not in noord}
@@ -119,11 +120,11 @@
         recorded.run_for(IN_FORCE_MS)
         self.assertEqual({77.0}, rates_in_force(recorded))
 
-    def test_a_platform_that_went_back_in_time_reverts_nothing(self):
-        """The platform comes back from a backup, and publishes under reused revisions.
+    def test_a_restored_platform_reverts_nothing(self):
+        """The platform is restored from a backup, and reuses revisions for new changes.
 
-        Each data centre hears another value under one revision. All keep the same one in
-        the end, say so loudly, and none falls back to the value before.
+        Each data centre receives a different value with the same revision. In the end all
+        instances keep the same one, report the conflict, and none reverts to the value before.
         """
         recorded = build_settled()
         noord = {name for name in recorded.run.instances if name.startswith("noord")}
@@ -161,10 +162,10 @@
 
 class SmallClusterTests(TestCase):
     def test_one_instance_alone_turns_ready(self):
-        """Ready means able to serve: not before its slots of unproven upstreams may be used.
+        """An instance is ready only when it may use slots of upstreams not yet known as warm.
 
-        Ready at once, it would refuse every query of a fleet that starts anew as cold, while
-        the balancer knows data centres that can serve.
+        If all instances of a fleet that restarts were ready at once, they would refuse every
+        query as cold, while the balancer has other data centres that can serve.
         """
         cluster = SmallCluster.from_size(ClusterSize(instances=1), 1)
         parts = cluster.run.instances["noord-0"].instance.parts
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_start.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_start.py
@@ -1,4 +1,4 @@
-"""Test instances that start against a platform that is stale or down."""
+"""Test instances that start while the platform is stale or down."""
 
 from unittest import TestCase
 
@@ -12,10 +12,11 @@
 
 class StartTests(TestCase):
     def test_a_new_instance_takes_the_newer_configuration_of_its_peers(self):
-        """The platform comes back from an old copy while an instance is replaced.
+        """The platform serves an old copy while an instance is replaced.
 
-        The old copy says that the other data centre is in. The peers know better; the new
-        instance must not turn ready, nor call that data centre, by the old copy.
+        The old copy says that the other data centre is in, but the peers have the newer
+        state. The new instance must not become ready, nor call that data centre, because of
+        the old copy.
         """
         recorded = RecordedCluster.from_size(TWO_CENTRES)
         recorded.run_for(SETTLED_MS)
@@ -34,7 +35,7 @@
         self.assertEqual({recorded.run.platform.revision}, set(ready_revisions))
 
     def test_a_new_instance_turns_ready_although_its_peers_are_dead(self):
-        """A whole cluster was replaced; the list still names the dead."""
+        """All instances were killed and one restarted; the list still names the dead ones."""
         recorded = RecordedCluster.from_size(TWO_CENTRES)
         recorded.run_for(SETTLED_MS)
         for name in list(recorded.run.instances):
@@ -44,7 +45,10 @@
         self.assertTrue(recorded.instance("noord-0").parts.is_ready)
 
     def test_never_serves_without_configuration(self):
-        """The platform is down at the start: refused as not run, and ready once it is back."""
+        """While the platform is down, a new instance refuses requests as not run.
+
+        It becomes ready once the platform is back.
+        """
         recorded = RecordedCluster.from_size(TWO_CENTRES)
         recorded.run.platform.is_down = True
         recorded.run.kill("noord-0")
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_unlisted_senders.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_unlisted_senders.py
@@ -1,4 +1,4 @@
-"""Test messages of senders that the published list does not name."""
+"""Test messages from senders that are not in the published instance list."""
 
 from unittest import TestCase
 
@@ -11,9 +11,9 @@
 
 class UnlistedSenderTests(TestCase):
     def test_an_unlisted_sender_gets_no_work_done(self):
-        """An instance was replaced, and its old process, cut off till now, sends subqueries.
+        """An instance was replaced, and its old process, isolated until now, sends subqueries.
 
-        Its results could not be sent back, so upstreams would work for nobody.
+        The results could not be sent back, so the work of upstreams would be wasted.
         """
         recorded = RecordedCluster.from_size(ClusterSize())
         recorded.run_for(SETTLED_MS)
--- a/packages/geraniumlead-standins/tests/standins_tests/soak/test_short_soak.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/soak/test_short_soak.py
@@ -1,4 +1,4 @@
-"""Test real processes for a short time; only promises that no slow machine can break."""
+"""Test real processes for a short time; only invariants that do not depend on timing."""
 
 import asyncio
 from pathlib import Path
@@ -20,7 +20,7 @@
     def test_untimed_invariants_hold_under_random_failures(self):
         """Processes are killed, frozen and stopped while callers look up and book.
 
-        What each caller saw and what each upstream ran must fit together afterwards.
+        Afterwards, what each caller saw must be consistent with what each upstream ran.
         """
         with TemporaryDirectory() as folder:
             layout = Layout(Path(folder), find_port_block())
--- a/packages/geraniumlead-standins/tests/standins_tests/virtual/test_cold_data_centre.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/virtual/test_cold_data_centre.py
@@ -1,4 +1,4 @@
-"""Test that upstreams in cold start get no more than they can bear."""
+"""Test that upstreams in cold start are not overloaded."""
 
 from unittest import TestCase
 from unittest.mock import patch
@@ -17,7 +17,7 @@
 
 
 class ColdRun:
-    """Send queries through all instances while every upstream restarts cold."""
+    """Sends queries through all instances while every upstream restarts cold."""
 
     def __init__(self, seed: int) -> None:
         self.cluster = SmallCluster.from_size(SIZE, seed)
@@ -27,7 +27,7 @@
         self.sent = 0
 
     def send_until(self, end_ms: float) -> None:
-        """Send a query through each instance in turn, one every interval."""
+        """Send a query every ``INTERVAL_MS``, through the instances in turn."""
         names = list(self.run.instances)
         while self.run.now_ms < end_ms:
             now_ms = self.run.now_ms
@@ -40,18 +40,18 @@
             self.run.queue.run_until(now_ms + INTERVAL_MS)
 
     def restart_all(self) -> None:
-        """Restart every upstream at once; each then is cold for some answers."""
+        """Restart every upstream at once; each is cold for ``COLD_ANSWERS`` answers."""
         for upstream in self.run.upstreams.values():
             upstream.restart(COLD_ANSWERS)
 
     @property
     def fallen(self) -> int:
-        """Return how often an upstream fell over."""
+        """Return how often upstreams went down because of overload."""
         return sum(upstream.fallen for upstream in self.run.upstreams.values())
 
 
-# A restart of all upstreams looks like a query that crashes all of them to the quarantine, so
-# it is off here: it would end the load that the cold upstreams have to be guarded from.
+# To the quarantine, a restart of all upstreams looks like a query that crashes them. It is off
+# here, as it would stop the load from which the cold upstreams must be protected.
 @without_quarantine()
 def run_restart(seed: int, after_restart=lambda cold_run: None) -> ColdRun:
     cold_run = ColdRun(seed)
@@ -68,8 +68,9 @@
     def test_no_upstream_falls_over_when_all_restart_cold(self):
         """All upstreams of the only data centre restart cold at once under load.
 
-        Connections are reset, and callers go on at the same rate. Each instance would send
-        its usual share to each upstream, which falls over, comes back cold and falls again.
+        Connections are reset, and callers continue at the same rate. Without the cold start
+        guard, each instance sends its usual share to each upstream, which goes down from
+        overload, comes back cold and goes down again.
         """
         for seed in range(1, 9):
             cold_run = run_restart(seed)
@@ -82,7 +83,7 @@
                 self.assertTrue(all(isinstance(outcome, Answered) for outcome in last_outcomes))
 
     def test_upstreams_fall_over_without_the_guard(self):
-        # At the interval of the other tests few upstreams have two calls at a time.
+        # At the interval of the other tests, few upstreams have two calls at once.
         with (
             patch(f"{__name__}.INTERVAL_MS", BUSY_INTERVAL_MS),
             without_cold_start_guard(),
@@ -90,10 +91,10 @@
             self.assertGreater(run_restart(seed=1).fallen, 5)
 
     def test_no_upstream_falls_over_while_an_instance_is_isolated(self):
-        """One instance loses platform and peers just when all upstreams restart.
+        """One instance loses the platform and its peers when all upstreams restart.
 
-        It still reaches the upstreams, still has callers, and hears of nothing: neither of
-        cold upstreams from its peers nor of a new list.
+        It still reaches the upstreams and still has callers, but learns neither of cold
+        upstreams from its peers nor of a new list.
         """
 
         def isolate(cold_run: ColdRun) -> None:
@@ -106,9 +107,9 @@
                 self.assertEqual(0, run_restart(seed, isolate).fallen)
 
     def test_no_upstream_falls_over_when_an_instance_is_replaced(self):
-        """A process is killed and started anew while all upstreams are cold.
+        """A process is killed and restarted while all upstreams are cold.
 
-        The new process remembers nothing, and the calls of the old one may still run.
+        The new process has no state, and calls of the old one may still run.
         """
 
         def replace(cold_run: ColdRun) -> None:
--- a/packages/geraniumlead-standins/tests/standins_tests/virtual/test_stragglers.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/virtual/test_stragglers.py
@@ -1,4 +1,4 @@
-"""Test what callers receive when a shard is late, lost or moved."""
+"""Test the answers to callers when a shard is late, missing or moved."""
 
 from unittest import TestCase
 
@@ -34,7 +34,7 @@
 
 
 class Caller:
-    """Send queries of one class and keep their answers."""
+    """Sends queries of one class and stores their answers."""
 
     def __init__(self, seed: int, size: ClusterSize, class_name: str = "lookup") -> None:
         contract = default_contract()
@@ -50,7 +50,7 @@
         self.sent = 0
 
     def send(self, count: int, deadline_ms: float = 200.0, least_coverage: float = 1.0) -> None:
-        """Send a query every ten milliseconds, through all instances in turn."""
+        """Send ``count`` queries, one every 10 ms, through all instances in turn."""
         names = list(self.run.instances)
         for _ in range(count):
             now_ms = self.run.now_ms
@@ -68,15 +68,15 @@
             self.run.queue.run_until(now_ms + 10.0)
 
     def upstream(self, upstream_id: str):
-        """Return an upstream by its name."""
+        """Return an upstream by its id."""
         return next(u for u in self.run.upstreams.values() if u.upstream_id == upstream_id)
 
 
 class StragglerTests(TestCase):
     def test_late_replica_is_hedged_and_its_call_cancelled(self):
-        """One replica of a shard stops answering while the other is well.
+        """One replica of a shard stops answering while the other one works.
 
-        Each query that was sent to it would wait for its deadline.
+        Without a hedge, each query that was sent to it would wait until its deadline.
         """
         caller = Caller(1, ClusterSize(instances=1))
         caller.send(200)
@@ -93,7 +93,7 @@
     def test_class_that_need_not_wait_gets_a_partial_answer_early(self):
         """Both replicas of one shard stop answering; the class accepts half of the shards.
 
-        Its caller has a second, but what is missing will not come.
+        The caller's deadline is a second, but the missing shard will not be answered.
         """
         caller = Caller(2, ClusterSize(instances=1), "partial")
         caller.send(200, deadline_ms=1_000.0, least_coverage=0.5)
@@ -114,9 +114,9 @@
             )
 
     def test_repartition_under_running_queries_keeps_one_version_in_an_answer(self):
-        """The index is cut anew: upstreams drop the old version while queries run.
+        """The index is repartitioned: upstreams drop the old version while queries run.
 
-        A query that merged what both versions hold would count records twice or not at all.
+        A query that merged records of both versions would count some twice or not at all.
         """
         caller = Caller(3, ClusterSize(instances=2))
         caller.send(50)
@@ -139,13 +139,13 @@
         for _, outcome in caller.answers:
             self.assertIsInstance(outcome, Answered)
             self.assertTrue(outcome.coverage.is_whole)
-            held = [record["version"] for part in outcome.records for record in decode(part)]
-            self.assertEqual({outcome.index_version}, set(held))
+            versions = [record["version"] for part in outcome.records for record in decode(part)]
+            self.assertEqual({outcome.index_version}, set(versions))
 
     def test_data_centre_that_is_taken_out_gets_nothing_new_and_loses_nothing(self):
         """Operators take one of two data centres out under load.
 
-        Work in hand ends, what waits goes elsewhere, and callers notice nothing.
+        Running calls end, queued ones go to the other data centre, and callers notice nothing.
         """
         caller = Caller(4, ClusterSize(data_centres=("noord", "zuid")))
         caller.send(100)
--- a/packages/geraniumlead-standins/tests/standins_tests/virtual/test_virtual_run.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/virtual/test_virtual_run.py
@@ -1,4 +1,4 @@
-"""Test the whole path in virtual time."""
+"""Test queries from caller to upstream and back in virtual time."""
 
 from unittest import TestCase
 
