--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/ablations.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/ablations.py
@@ -1,6 +1,6 @@
 """Remove one safeguard from the system, to show that its check fails without it.
 
-Each variant patches a method or more during a run. The product has no such switches.
+Each variant patches one or more methods during a run. The product has no such switches.
 """
 
 from collections.abc import Callable, Iterator
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/report.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/report.py
@@ -43,6 +43,6 @@
     lines += ["", "## Safeguard taken out", ""]
     for invariant in CHECKS:
         cells = {label: table[label, invariant].broken_without for label in labels}
-        failing = [label for label, broken_off in cells.items() if broken_off]
+        failing = [label for label, count in cells.items() if count]
         lines.append(f"- {invariant}: the check fails under {len(failing)} of these failures.")
     return "\n".join(lines) + "\n"
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/simulated_callers.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/simulated_callers.py
@@ -14,7 +14,7 @@
 from geraniumlead_standins.virtual.small_cluster import CUSTOMER, SERVICE
 
 ONE_WAY_MS = 1.0
-GRACE_MS = 400.0
+ANSWER_GRACE_MS = 400.0
 FROZEN_POLL_MS = 20.0
 MAX_ATTEMPTS = 4
 DEADLINES_MS = {"lookup": 200.0, "booking": 500.0}
@@ -50,7 +50,7 @@
         name = self._balancer.choose()
         event = TicketRequested(request_id, CUSTOMER, operation.class_name)
         self._schedule(ONE_WAY_MS, lambda: self._run.deliver(name, event))
-        self._schedule(GRACE_MS, lambda: self._retry_ticket_request(request_id))
+        self._schedule(ANSWER_GRACE_MS, lambda: self._retry_ticket_request(request_id))
 
     def _retry_ticket_request(self, request_id: str) -> None:
         operation = self._ticket_requests.pop(request_id, None)
@@ -81,7 +81,7 @@
             deadline_ms=request.deadline_ms,
         )
         self._schedule(ONE_WAY_MS, lambda: self._deliver(request))
-        self._schedule(request.deadline_ms + GRACE_MS, lambda: self._time_out(request))
+        self._schedule(request.deadline_ms + ANSWER_GRACE_MS, lambda: self._time_out(request))
         if operation.gives_up_after_ms is not None and operation.attempts == 1:
             self._schedule(operation.gives_up_after_ms, lambda: self._disconnect(request))
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/testbed.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/testbed.py
@@ -55,7 +55,7 @@
     random: Random
     returns_cold: bool = False
     has_one_owner: bool = False
-    numbers: Iterator[int] = field(default_factory=lambda: count(10_000))
+    operation_numbers: Iterator[int] = field(default_factory=lambda: count(10_000))
 
     @classmethod
     def from_seed(cls, seed: int) -> "Testbed":
@@ -153,12 +153,12 @@
 
     def draw_operation(self, text: str = "x") -> Operation:
         """Return a random operation with its own token."""
-        return build_operation(next(self.numbers), self.random, text)
+        return build_operation(next(self.operation_numbers), self.random, text)
 
-    def burst(self, name: str, size: int) -> None:
-        """Start many operations at once; ``name`` is put into the text of their queries."""
+    def burst(self, text: str, size: int) -> None:
+        """Start many operations at once; ``text`` is put into their queries."""
         for _ in range(size):
-            self.callers.start(self.draw_operation(name))
+            self.callers.start(self.draw_operation(text))
 
     def retire(self, version: int) -> None:
         """Drop an index version from every upstream; its document is published 500 ms later."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/configuration.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/configuration.py
@@ -35,9 +35,9 @@
                 continue
             result.operations += 1
             if not any(
-                line.revisions.get(published.key, 0) >= published.revision
-                for line in reports_of_incarnation
-                if line.at_ns <= due_ns
+                report.revisions.get(published.key, 0) >= published.revision
+                for report in reports_of_incarnation
+                if report.at_ns <= due_ns
             ):
                 result.add(
                     due_ns, f"{instance}: {published.key} at {published.revision} not in force"
@@ -49,10 +49,12 @@
     result: CheckResult, instance: str, reports_of_incarnation: list[HistoryEvent]
 ) -> None:
     highest: dict[str, int] = {}
-    for line in reports_of_incarnation:
-        for key, revision in line.revisions.items():
+    for report in reports_of_incarnation:
+        for key, revision in report.revisions.items():
             if revision < highest.get(key, 0):
-                result.add(line.at_ns, f"{instance}: {key} went from {highest[key]} to {revision}")
+                result.add(
+                    report.at_ns, f"{instance}: {key} went from {highest[key]} to {revision}"
+                )
             highest[key] = max(revision, highest.get(key, 0))
 
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_upstream.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_upstream.py
@@ -31,7 +31,7 @@
 
 
 def read_token(query: bytes) -> str:
-    """Return the token of a query, or an empty string if its text is no JSON or has none."""
+    """Return the token of a query, or an empty string if it is not JSON or has none."""
     try:
         found = decode(query)
     except DecodeError:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/small_cluster.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/small_cluster.py
@@ -113,12 +113,12 @@
 
 def _list_upstreams(size: ClusterSize) -> list[tuple[UpstreamEntry, int]]:
     listed = []
-    for centre_number, data_centre in enumerate(size.data_centres):
+    for data_centre_number, data_centre in enumerate(size.data_centres):
         for number in range(size.shards * size.replicas):
             entry = UpstreamEntry(
                 upstream_id=f"{SERVICE}-{data_centre}-{number}",
                 service=SERVICE,
-                address=f"10.0.{centre_number}.1:{20_000 + number}",
+                address=f"10.0.{data_centre_number}.1:{20_000 + number}",
                 slots=size.slots,
                 connections=size.connections,
             )
@@ -137,8 +137,8 @@
         entries = [entry for entry, _ in upstreams if entry.upstream_id.startswith(prefix)]
         instances = [
             InstanceEntry(instance_id=name, peer_address="10.0.0.1:1")
-            for name, centre in _list_instances(size)
-            if centre == data_centre
+            for name, instance_data_centre in _list_instances(size)
+            if instance_data_centre == data_centre
         ]
         documents[document_key(DocumentKind.DATA_CENTRE, data_centre)] = DataCentreDocument(
             name=data_centre, region=data_centre
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_leaving.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_leaving.py
@@ -11,12 +11,12 @@
 from geraniumlead_standins.virtual.small_cluster import ClusterSize
 from standins_tests.membership.builders import SETTLED_MS, RecordedCluster
 
-TWO_CENTRES = ClusterSize(data_centres=("noord", "zuid"), instances=3)
-LARGE_CENTRE = ClusterSize(instances=20, shards=8, replicas=1, connections=8)
+TWO_DATA_CENTRES = ClusterSize(data_centres=("noord", "zuid"), instances=3)
+LARGE_DATA_CENTRE = ClusterSize(instances=20, shards=8, replicas=1, connections=8)
 NOTICE_MS = 6_000.0
 
 
-def build_settled(size: ClusterSize = TWO_CENTRES, seed: int = 1) -> RecordedCluster:
+def build_settled(size: ClusterSize = TWO_DATA_CENTRES, seed: int = 1) -> RecordedCluster:
     recorded = RecordedCluster.from_size(size, seed)
     recorded.settle()
     return recorded
@@ -109,7 +109,7 @@
         Three are asked to stop under load, one after the other. Callers must see whole answers
         only: the owner sends a goodbye, peers avoid it, and it finishes its running work.
         """
-        recorded = build_warm(LARGE_CENTRE)
+        recorded = build_warm(LARGE_DATA_CENTRE)
         for number in range(3):
             recorded.run.deliver(f"noord-{number}", StopRequested())
             ask_everywhere(recorded, f"stop-{number}", 1)
@@ -129,7 +129,7 @@
         The owner has no query of its own. If it did not count the peer's work, it would exit
         after the notice time and the peer's caller would lose the shard.
         """
-        recorded = build_warm(LARGE_CENTRE, TimingSettings(stop_notice_ms=100.0))
+        recorded = build_warm(LARGE_DATA_CENTRE, TimingSettings(stop_notice_ms=100.0))
         for upstream in recorded.run.upstreams.values():
             upstream.median_ms, upstream.sigma = 1_000.0, 0.0
         before = len(recorded.calls)
@@ -190,7 +190,7 @@
 
 class DeadOwnerTests(TestCase):
     def test_a_dead_owner_is_routed_around_within_the_timeout(self):
-        recorded = build_warm(LARGE_CENTRE)
+        recorded = build_warm(LARGE_DATA_CENTRE)
         recorded.run.kill("noord-3")
         ask_everywhere(recorded, "while", 4)
         recorded.outcomes.clear()
@@ -202,7 +202,7 @@
         self.assertEqual([], incomplete)
 
     def test_idle_peers_stay_reachable_in_a_large_data_centre(self):
-        recorded = build_settled(LARGE_CENTRE)
+        recorded = build_settled(LARGE_DATA_CENTRE)
         for _ in range(20):
             recorded.run_for(500.0)
             for host in recorded.run.instances.values():
@@ -218,7 +218,7 @@
         caller's deadline is ten seconds. Without a check for lost owners, the shards would be
         missing at the deadline; they are retried once the owner counts as unreachable.
         """
-        recorded = build_warm(LARGE_CENTRE)
+        recorded = build_warm(LARGE_DATA_CENTRE)
         for upstream in recorded.run.upstreams.values():
             upstream.median_ms, upstream.sigma = 1_000.0, 0.0
         before = len(recorded.calls)
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_pause.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_pause.py
@@ -7,14 +7,14 @@
 from geraniumlead_standins.virtual.small_cluster import ClusterSize
 from standins_tests.membership.builders import RecordedCluster
 
-TWO_CENTRES = ClusterSize(data_centres=("noord", "zuid"), instances=3)
+TWO_DATA_CENTRES = ClusterSize(data_centres=("noord", "zuid"), instances=3)
 SAFEGUARD_OFF = TimingSettings(pause_gap_ms=3_600_000.0)
 NOORD_UPSTREAMS = "10.0.0."
 FROZEN_MS = 5_000.0
 
 
 def freeze_while_noord_is_taken_out(timing: TimingSettings | None) -> RecordedCluster:
-    recorded = RecordedCluster.from_size(TWO_CENTRES, timing=timing)
+    recorded = RecordedCluster.from_size(TWO_DATA_CENTRES, timing=timing)
     recorded.settle()
     recorded.run.freeze("noord-0")
     recorded.ask("noord-0", "r1", allowed_ms=60_000.0)
@@ -48,7 +48,7 @@
 
     def test_a_request_that_cannot_wait_is_refused_as_not_run(self):
         """A request has 10 ms left at an instance that just resumed and asks its peers first."""
-        recorded = RecordedCluster.from_size(TWO_CENTRES)
+        recorded = RecordedCluster.from_size(TWO_DATA_CENTRES)
         recorded.settle()
         recorded.run.freeze("noord-0")
         recorded.run_for(FROZEN_MS)
@@ -66,7 +66,7 @@
         reads heartbeats and documents from before that, but no probe is answered. The request
         is refused at its deadline.
         """
-        recorded = RecordedCluster.from_size(TWO_CENTRES)
+        recorded = RecordedCluster.from_size(TWO_DATA_CENTRES)
         recorded.settle()
         recorded.run.freeze("noord-0")
         recorded.run_for(FROZEN_MS)
@@ -85,7 +85,7 @@
         If it refused all requests from then on, callers would lose the service that it can
         still give.
         """
-        recorded = RecordedCluster.from_size(TWO_CENTRES)
+        recorded = RecordedCluster.from_size(TWO_DATA_CENTRES)
         recorded.settle()
         recorded.run.freeze("noord-0")
         recorded.run_for(FROZEN_MS)
@@ -135,7 +135,7 @@
         run, its caller would book again with another ticket; it gets the outcome of the first
         attempt instead.
         """
-        recorded = RecordedCluster.from_size(TWO_CENTRES)
+        recorded = RecordedCluster.from_size(TWO_DATA_CENTRES)
         recorded.settle()
         ticket = recorded.instance("noord-0").parts.tickets.issue(
             "acme", "booking", recorded.run.now_ms
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_spread.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_spread.py
@@ -12,7 +12,7 @@
 )
 from standins_tests.membership.builders import SETTLED_MS, RecordedCluster
 
-TWO_CENTRES = ClusterSize(data_centres=("noord", "zuid"), instances=6)
+TWO_DATA_CENTRES = ClusterSize(data_centres=("noord", "zuid"), instances=6)
 IN_FORCE_MS = 6_000.0
 CONTRACT_KEY = "geraniumlead/contracts/acme"
 
@@ -39,7 +39,7 @@
 
 
 def build_settled(seed: int = 1) -> RecordedCluster:
-    recorded = RecordedCluster.from_size(TWO_CENTRES, seed)
+    recorded = RecordedCluster.from_size(TWO_DATA_CENTRES, seed)
     recorded.run_for(SETTLED_MS)
     return recorded
 
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_start.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_start.py
@@ -7,7 +7,7 @@
 from geraniumlead_standins.virtual.small_cluster import ClusterSize
 from standins_tests.membership.builders import SETTLED_MS, RecordedCluster
 
-TWO_CENTRES = ClusterSize(data_centres=("noord", "zuid"), instances=3)
+TWO_DATA_CENTRES = ClusterSize(data_centres=("noord", "zuid"), instances=3)
 
 
 class StartTests(TestCase):
@@ -18,7 +18,7 @@
         state. The new instance must not become ready, nor call that data centre, because of
         the old copy.
         """
-        recorded = RecordedCluster.from_size(TWO_CENTRES)
+        recorded = RecordedCluster.from_size(TWO_DATA_CENTRES)
         recorded.run_for(SETTLED_MS)
         stale_revision = recorded.run.platform.revision
         recorded.set_data_centre("zuid", "out")
@@ -36,7 +36,7 @@
 
     def test_a_new_instance_turns_ready_although_its_peers_are_dead(self):
         """All instances were killed and one restarted; the list still names the dead ones."""
-        recorded = RecordedCluster.from_size(TWO_CENTRES)
+        recorded = RecordedCluster.from_size(TWO_DATA_CENTRES)
         recorded.run_for(SETTLED_MS)
         for name in list(recorded.run.instances):
             recorded.run.kill(name)
@@ -49,7 +49,7 @@
 
         It becomes ready once the platform is back.
         """
-        recorded = RecordedCluster.from_size(TWO_CENTRES)
+        recorded = RecordedCluster.from_size(TWO_DATA_CENTRES)
         recorded.run.platform.is_down = True
         recorded.run.kill("noord-0")
         recorded.run.start_instance(recorded.cluster.settings["noord-0"])
