--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the slopes from which docs/CAPACITY.md is worked out."""
+"""Measure the costs per unit from which docs/CAPACITY.md is calculated."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/__main__.py
@@ -14,18 +14,18 @@
 PAGE_FILE = Path("docs/CAPACITY.md")
 
 
-def tell(text: str) -> None:
-    """Say what is being measured."""
+def print_progress(text: str) -> None:
+    """Print which measurement begins."""
     print(f"measuring {text}", flush=True)
 
 
 def write_record(record: dict) -> None:
-    """Keep the record, readable in a diff."""
+    """Write the record, indented so that it is readable in a diff."""
     RECORD_FILE.write_bytes(format(encode(record), indent=1) + b"\n")
 
 
 def main() -> None:
-    """Measure unless only the page is wanted, then write the page from the records."""
+    """Run the measurements that the options ask for, then write the page from the records."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--render", action="store_true", help="write the page, measure nothing")
     parser.add_argument(
@@ -33,10 +33,10 @@
     )
     arguments = parser.parse_args()
     if arguments.lines:
-        write_record(measure_lines(decode(RECORD_FILE.read_bytes()), tell))
+        write_record(measure_lines(decode(RECORD_FILE.read_bytes()), print_progress))
     elif not arguments.render:
         with tempfile.TemporaryDirectory() as folder:
-            write_record(measure_all(Path(folder), tell))
+            write_record(measure_all(Path(folder), print_progress))
     measured = decode(RECORD_FILE.read_bytes())
     control = decode(CONTROL_FILE.read_bytes())
     PAGE_FILE.write_text(render_page(measured, control))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/bare_fan_out.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/bare_fan_out.py
@@ -1,7 +1,7 @@
-"""Fan a query out with nothing but falcon, asyncio and aiohttp: the baseline.
+"""Fan out queries with only falcon, asyncio and aiohttp: the baseline of an instance.
 
 Run as ``python -m geraniumlead_standins.capacity.bare_fan_out``. It makes the same calls as an
-entry instance and joins the same records, without contracts, limits, versions, deadlines of
+entry instance and joins the same records, but without contracts, limits, versions, deadlines of
 its own, retries or coverage.
 """
 
@@ -19,7 +19,7 @@
 
 
 class RecordsBody(Struct):
-    """Be the part of an upstream's answer that is joined."""
+    """The field of an upstream's answer that is joined."""
 
     records: Raw
 
@@ -28,7 +28,7 @@
 
 
 class BareResource:
-    """Ask every shard's first replica and join the records."""
+    """The resource that queries the first replica of every shard and joins the records."""
 
     def __init__(self, addresses: list[str], connections: int) -> None:
         self._addresses = addresses
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/batch_spread.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/batch_spread.py
@@ -1,4 +1,4 @@
-"""Count the messages of one batching tick by how a coordinator picks among owners."""
+"""Count the messages of one batching tick for three ways to choose between owners."""
 
 from random import Random
 
@@ -11,10 +11,10 @@
 
 
 def measure_spread() -> list[dict]:
-    """Return the peers that a tick reaches when every upstream is asked once in it.
+    """Return how many peers a tick reaches if it holds one subquery for each upstream.
 
-    ``random`` picks any owner, ``affinity`` the one ranked first for this coordinator, and
-    ``cover`` a small set of owners that reaches every upstream (greedy set cover).
+    ``random`` chooses any owner, ``affinity`` the owner that ranks first for the coordinator, and
+    ``cover`` a small set of owners that together own all upstreams (greedy set cover).
     """
     upstreams = [f"lookup-{number}" for number in range(UPSTREAMS_PER_DATA_CENTRE)]
     rows = []
@@ -31,7 +31,7 @@
             sums["affinity"] += len(set(picked))
             for name in picked:
                 loads[name] += 1
-            sums["cover"] += _count_cover(owners)
+            sums["cover"] += _count_covering_owners(owners)
         rows.append(
             {
                 "instances": count,
@@ -41,15 +41,15 @@
     return rows
 
 
-def _count_cover(owners: dict[str, list[str]]) -> int:
+def _count_covering_owners(owners: dict[str, list[str]]) -> int:
     owned: dict[str, set[str]] = {}
     for upstream_id, found in owners.items():
         for name in found:
             owned.setdefault(name, set()).add(upstream_id)
-    left = set(owners)
+    uncovered = set(owners)
     chosen = 0
-    while left:
-        best = max(owned, key=lambda name: len(owned[name] & left))
-        left -= owned[best]
+    while uncovered:
+        best = max(owned, key=lambda name: len(owned[name] & uncovered))
+        uncovered -= owned[best]
         chosen += 1
     return chosen
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/decision_cluster.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/decision_cluster.py
@@ -1,4 +1,4 @@
-"""Build one instance in memory, with as many upstreams and peers as a measurement wants."""
+"""Build one instance in memory, with any number of upstreams, peers and contracts."""
 
 from random import Random
 
@@ -27,7 +27,7 @@
 
 
 def build_contract(number: int) -> ContractDocument:
-    """Return a wide contract with one class."""
+    """Return a contract with one class and limits too high to take effect."""
     return ContractDocument(
         customer=f"customer-{number}",
         credentials_sha256=[f"{number:064x}"],
@@ -39,7 +39,7 @@
 
 
 def build_upstreams(count: int) -> UpstreamListDocument:
-    """Return upstreams with slots for every call that a measurement makes at once."""
+    """Return upstreams with enough slots for all concurrent calls of a measurement."""
     entries = [
         UpstreamEntry(
             upstream_id=f"lookup-{number}",
@@ -73,7 +73,7 @@
 
 
 def build_instance(shards: int, instances: int = 1, contracts: int = 1) -> Instance:
-    """Return a configured instance that heard no peer yet."""
+    """Return a configured instance that has received nothing from its peers yet."""
     settings = InstanceSettings(
         instance_id=OWN_NAME,
         data_centre="noord",
@@ -89,7 +89,7 @@
 
 
 def build_driver(shards: int, instances: int = 1, contracts: int = 1) -> EchoDriver:
-    """Return a settled driver of a configured instance."""
+    """Return the driver of a configured instance, after ``settle``."""
     instance = build_instance(shards, instances, contracts)
     driver = EchoDriver(instance, [f"noord-{number}" for number in range(1, instances)])
     driver.settle()
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/decision_cpu.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/decision_cpu.py
@@ -1,4 +1,4 @@
-"""Measure the CPU of the decisions alone, without any network."""
+"""Measure the CPU time of the decisions alone, without a network."""
 
 import gc
 from time import process_time
@@ -9,7 +9,7 @@
 from geraniumlead.upstreams import Subquery
 from geraniumlead_standins.capacity.decision_cluster import build_driver
 from geraniumlead_standins.capacity.echo_driver import EchoDriver
-from geraniumlead_standins.capacity.fits import take_least
+from geraniumlead_standins.capacity.fits import min_of_runs
 
 FAN_OUTS = (20, 100, 200, 600, 1200)
 BATCH_SIZES = (10, 50, 100, 200, 400)
@@ -19,36 +19,36 @@
 
 
 def measure_local_query() -> list[tuple[float, float]]:
-    """Return microseconds a query by shards, where the instance owns every upstream."""
+    """Return microseconds per query by shards, if the instance owns every upstream."""
     return [
-        (float(shards), take_least(lambda n=shards: _time_queries(build_driver(n), n)))
+        (float(shards), min_of_runs(lambda n=shards: _time_queries(build_driver(n), n)))
         for shards in FAN_OUTS
     ]
 
 
 def measure_remote_query() -> list[tuple[float, float]]:
-    """Return microseconds a query by shards, where three quarters are peers' own."""
+    """Return microseconds per query by shards, if peers own three quarters of the upstreams."""
     return [
         (
             float(shards),
-            take_least(lambda n=shards: _time_queries(build_driver(n, OWNERS_FOR_REMOTE), n)),
+            min_of_runs(lambda n=shards: _time_queries(build_driver(n, OWNERS_FOR_REMOTE), n)),
         )
         for shards in FAN_OUTS
     ]
 
 
 def measure_owner() -> list[tuple[float, float]]:
-    """Return microseconds that an owner spends on a peer's batch, by its subqueries."""
-    return [(float(size), take_least(lambda n=size: _time_batches(n))) for size in BATCH_SIZES]
+    """Return microseconds that an owner needs for a peer's batch, by its subqueries."""
+    return [(float(size), min_of_runs(lambda n=size: _time_batches(n))) for size in BATCH_SIZES]
 
 
 def measure_refused() -> float:
-    """Return microseconds of decision for a request that is refused."""
+    """Return microseconds for the decision to refuse a request."""
     driver = build_driver(20)
     count = 20_000
     started = process_time()
     for number in range(count):
-        driver.feed(QueryArrived(build_request(f"r{number}", "nobody", driver.now_ms)))
+        driver.deliver(QueryArrived(build_request(f"r{number}", "nobody", driver.now_ms)))
     spent_s = process_time() - started
     if not all(isinstance(answer.outcome, NotRun) for answer in driver.answers):
         raise RuntimeError("a request was not refused")
@@ -56,7 +56,7 @@
 
 
 def build_request(request_id: str, customer: str, now_ms: float) -> CallerRequest:
-    """Return a lookup with ten seconds of time."""
+    """Return a lookup request with a deadline in ten seconds."""
     return CallerRequest(
         request_id=request_id,
         customer=customer,
@@ -86,7 +86,7 @@
 
 
 def _time_batches(size: int) -> float:
-    # Two instances own every upstream, so the other one may send a batch for all of them.
+    # Of two instances both own every upstream, so the other one may send a batch for all of them.
     driver = build_driver(size, 2)
     for number in range(WARM_UP_QUERIES):
         _run_query(driver, f"w{number}")
@@ -96,9 +96,9 @@
     gc.collect()
     started = process_time()
     for batch in batches:
-        driver.feed(PeerMessageReceived("noord-1", batch))
+        driver.deliver(PeerMessageReceived("noord-1", batch))
         driver.now_ms += driver.instance.parts.settings.timing.batch_tick_ms
-        driver.feed(TimerFired())
+        driver.deliver(TimerFired())
     return (process_time() - started) / count * 1e6
 
 
@@ -127,7 +127,7 @@
 
 
 def _run_query(driver: EchoDriver, request_id: str) -> None:
-    driver.feed(QueryArrived(build_request(request_id, "customer-0", driver.now_ms)))
-    # The batching tick sends what goes to peers.
+    driver.deliver(QueryArrived(build_request(request_id, "customer-0", driver.now_ms)))
+    # The batching tick sends the subqueries to peers.
     driver.now_ms += driver.instance.parts.settings.timing.batch_tick_ms
-    driver.feed(TimerFired())
+    driver.deliver(TimerFired())
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/deployment_size.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/deployment_size.py
@@ -1,4 +1,4 @@
-"""Define the sizes for which the capacity page works out what each role needs."""
+"""The deployment sizes for which the capacity page calculates the needs of each role."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DeploymentSize:
-    """Hold one size of a deployment; rates are for the whole fleet."""
+    """The size and load of a deployment; rates are those of the whole fleet."""
 
     name: str
     nodes: int
@@ -24,27 +24,27 @@
 
     @property
     def nodes_per_data_centre(self) -> float:
-        """Return the entry instances of one data centre."""
+        """Return the number of entry instances in one data centre."""
         return self.nodes / self.data_centres
 
     @property
     def servers_per_data_centre(self) -> float:
-        """Return the upstreams of one data centre."""
+        """Return the number of upstreams in one data centre."""
         return self.servers / self.data_centres
 
     @property
     def queries_per_node_s(self) -> float:
-        """Return the queries a second that one node coordinates."""
+        """Return the queries per second that one node coordinates."""
         return self.queries_per_s / self.nodes
 
     @property
     def subqueries_per_node_s(self) -> float:
-        """Return the subqueries a second of one node."""
+        """Return the subqueries per second of one node."""
         return self.queries_per_node_s * self.shards_per_query
 
     @property
     def changes_per_s(self) -> float:
-        """Return the configuration changes a second."""
+        """Return the configuration changes per second."""
         return self.changes_per_day / SECONDS_PER_DAY
 
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/echo_driver.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/echo_driver.py
@@ -1,5 +1,3 @@
-"""Answer everything that an instance asks, at once and in memory."""
-
 from geraniumlead.actions import Action, AnswerCaller, CallUpstream, SendToPeer
 from geraniumlead.events import Event, PeerMessageReceived, TimerFired, UpstreamAnswered
 from geraniumlead.instance import Instance
@@ -19,10 +17,10 @@
 
 
 class EchoDriver:
-    """Drive one instance whose upstreams and peers answer in no time.
+    """Drives one instance in memory; its upstreams and peers answer without delay.
 
-    ``now_ms`` moves only by ``advance``; peers' heartbeats come with it, so that the
-    instance keeps them for living.
+    Only ``advance`` changes ``now_ms`` here. It also delivers heartbeats of all peers, so that
+    the instance considers them alive.
     """
 
     def __init__(self, instance: Instance, peer_ids: list[str]) -> None:
@@ -30,34 +28,34 @@
         self.now_ms = 0.0
         self.answers: list[AnswerCaller] = []
         self._peer_ids = peer_ids
-        self._beats = 0
+        self._heartbeat_number = 0
 
     def settle(self) -> None:
-        """Let the list lag pass, so that the view is confirmed and cold slots may be used."""
+        """Advance past the list lag, so that the view is confirmed and cold slots may be used."""
         while self.now_ms < SETTLE_MS:
             self.advance(STEP_MS)
 
     def advance(self, step_ms: float) -> None:
-        """Let time pass; every peer beats once."""
+        """Advance the time, deliver one heartbeat of every peer, and fire the timer."""
         self.now_ms += step_ms
-        self._beats += 1
+        self._heartbeat_number += 1
         for peer_id in self._peer_ids:
-            beat = Heartbeat(f"life-{peer_id}", "noord", self._beats, 1, True)
-            self.feed(PeerMessageReceived(peer_id, beat))
-        self.feed(TimerFired())
+            heartbeat = Heartbeat(f"life-{peer_id}", "noord", self._heartbeat_number, 1, True)
+            self.deliver(PeerMessageReceived(peer_id, heartbeat))
+        self.deliver(TimerFired())
 
-    def feed(self, event: Event) -> None:
-        """Pass an event in, and then everything that follows from it."""
+    def deliver(self, event: Event) -> None:
+        """Deliver an event, and then the answers to all actions that follow from it."""
         pending: list[Action] = self.instance.handle(event, self.now_ms)
         while pending:
-            followed: list[Action] = []
+            next_actions: list[Action] = []
             for action in pending:
-                found = self._answer(action)
-                if found is not None:
-                    followed += self.instance.handle(found, self.now_ms)
-                    # A daemon asks after every event, to arm its one timer.
+                reply = self._answer(action)
+                if reply is not None:
+                    next_actions += self.instance.handle(reply, self.now_ms)
+                    # As in a daemon, which calls this after every event to set its only timer.
                     self.instance.next_wake_ms()
-            pending = followed
+            pending = next_actions
 
     def _answer(self, action: Action) -> Event | None:
         match action:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/fan_out_cluster.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/fan_out_cluster.py
@@ -1,5 +1,3 @@
-"""Lay out a small real cluster for measurements: files for its processes."""
-
 from dataclasses import dataclass
 from hashlib import sha256
 from pathlib import Path
@@ -29,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FanOutCluster:
-    """Name the ports and sizes of one cluster of one data centre."""
+    """The addresses, sizes and files of a cluster of processes in one data centre."""
 
     folder: Path
     first_port: int
@@ -42,24 +40,24 @@
 
     @property
     def platform_address(self) -> str:
-        """Return where the platform listens."""
+        """Return the address on which the platform listens."""
         return f"{HOST}:{self.first_port}"
 
     @property
     def upstream_addresses(self) -> list[str]:
-        """Return the address of each shard's one upstream."""
+        """Return the addresses of the upstreams, one per shard."""
         return [f"{HOST}:{self.first_port + 100 + shard}" for shard in range(self.shards)]
 
     def callers_address(self, number: int) -> str:
-        """Return where an instance listens to callers."""
+        """Return the address on which an instance listens for callers."""
         return f"{HOST}:{self.first_port + 10 + number}"
 
     def operators_address(self, number: int) -> str:
-        """Return where an instance listens to operators."""
+        """Return the address on which an instance listens for operators."""
         return f"{HOST}:{self.first_port + 30 + number}"
 
     def write_files(self) -> None:
-        """Write documents, settings and plans into the folder."""
+        """Write documents, addresses, settings and plans into the folder."""
         self.folder.mkdir(parents=True, exist_ok=True)
         documents = {key_of_document(document): document for document in self._documents()}
         (self.folder / "documents.json").write_bytes(encode(documents))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/fan_out_cpu.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/fan_out_cpu.py
@@ -1,4 +1,4 @@
-"""Measure the CPU of one query at an entry instance, beside the bare fan-out."""
+"""Measure the CPU time of a query at an entry instance and at the bare fan-out."""
 
 import asyncio
 import time
@@ -21,7 +21,7 @@
 
 
 def measure_fan_out(folder: Path, first_port: int, shards: int, queries: int) -> dict:
-    """Return the CPU microseconds a query at the instance and at the bare fan-out."""
+    """Return CPU microseconds per query at the instance and at the bare fan-out."""
     cluster = FanOutCluster(folder, first_port, shards)
     cluster.write_files()
     row: dict = {"shards": shards, "queries": queries}
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/fits.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/fits.py
@@ -1,4 +1,4 @@
-"""Fit straight lines to measured points."""
+"""Fit straight lines to measured values."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Line:
-    """Hold a fitted line; ``error_share`` is the largest residual over the largest value."""
+    """A fitted line; ``error_share`` is the largest residual divided by the largest value."""
 
     slope: float
     intercept: float
@@ -18,9 +18,9 @@
 
     @classmethod
     def from_points(cls, sizes: list[float], values: list[float]) -> "Line":
-        """Fit by least squares; needs four points at least."""
+        """Fit a line by least squares; at least four points are needed."""
         if len(sizes) < 4:
-            raise ValueError("a slope takes four sizes at least")
+            raise ValueError("a line needs at least four sizes")
         slope, intercept = numpy.polyfit(sizes, values, 1)
         fitted = [slope * size + intercept for size in sizes]
         worst = max(abs(a - b) for a, b in zip(fitted, values, strict=True))
@@ -35,13 +35,13 @@
         }
 
 
-def take_least(measure: Callable[[], float]) -> float:
-    """Return the least of several runs: other work on the machine only ever adds time."""
+def min_of_runs(measure: Callable[[], float]) -> float:
+    """Return the minimum of several runs, since other work on the machine can only add time."""
     return min(measure() for _ in range(REPEATS))
 
 
 def build_slope(unit: str, per: str, points: list[tuple[float, float]]) -> dict:
-    """Return the record of one slope: its points, line and units."""
+    """Return the record of one fitted line: its points, coefficients and units."""
     sizes = [size for size, _ in points]
     values = [value for _, value in points]
     return {
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/idle_instances.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/idle_instances.py
@@ -1,4 +1,4 @@
-"""Measure what idle instances spend: CPU and memory, by how many there are."""
+"""Measure the CPU time and memory of idle instances, by their number."""
 
 import time
 from pathlib import Path
@@ -16,10 +16,10 @@
 
 
 def measure_idle(folder: Path, first_port: int) -> list[dict]:
-    """Return CPU share, resident memory and start time of idle instances, by their number."""
+    """Return CPU share, resident memory and start time of idle instances, one row per number."""
     return [
-        _measure_one(folder / str(count), first_port + 300 * place, count)
-        for place, count in enumerate(INSTANCE_COUNTS)
+        _measure_one(folder / str(count), first_port + 300 * position, count)
+        for position, count in enumerate(INSTANCE_COUNTS)
     ]
 
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/message_cpu.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/message_cpu.py
@@ -1,4 +1,4 @@
-"""Measure the CPU of messages between instances: coding, and the transport by pyzmq."""
+"""Measure the CPU time of messages between instances: encoding, decoding and pyzmq."""
 
 from time import process_time
 
@@ -12,7 +12,7 @@
     encode_message,
 )
 from geraniumlead.upstreams import Records, Subquery
-from geraniumlead_standins.capacity.fits import take_least
+from geraniumlead_standins.capacity.fits import min_of_runs
 
 BATCH_SIZES = (1, 10, 50, 100, 300, 500)
 ITEMS_A_POINT = 60_000
@@ -22,7 +22,7 @@
 
 
 def build_subquery(number: int) -> Subquery:
-    """Return a subquery of ordinary size."""
+    """Return a subquery of typical size."""
     return Subquery(
         call_id=f"noord-12.a1b2c3d4e5f6.{number}",
         request_id="7f3c9a0e5b1d4c28a6f0e9d8c7b6a594",
@@ -38,21 +38,21 @@
 
 
 def measure_coding() -> tuple[list[tuple[float, float]], list[tuple[float, float]]]:
-    """Return microseconds to encode and decode a batch, of subqueries and of results."""
+    """Return microseconds to encode and decode a batch by its size, for subqueries and results."""
     subqueries, results = [], []
     for size in BATCH_SIZES:
         items = tuple(build_subquery(number) for number in range(size))
         batch = SubqueryBatch(items)
-        subqueries.append((float(size), take_least(lambda b=batch, n=size: _time_coding(b, n))))
+        subqueries.append((float(size), min_of_runs(lambda b=batch, n=size: _time_coding(b, n))))
         records = Records(12, 7, b'[{"id":"a","hours":1.5}]')
         answers = tuple(SubqueryResult(item.call_id, records) for item in items)
         answered = SubqueryResultBatch(answers)
-        results.append((float(size), take_least(lambda b=answered, n=size: _time_coding(b, n))))
+        results.append((float(size), min_of_runs(lambda b=answered, n=size: _time_coding(b, n))))
     return subqueries, results
 
 
 def measure_bytes() -> list[tuple[float, float]]:
-    """Return the bytes of a batch of subqueries by its size."""
+    """Return the bytes of an encoded batch of subqueries by its size."""
     points = []
     for size in BATCH_SIZES:
         batch = SubqueryBatch(tuple(build_subquery(number) for number in range(size)))
@@ -62,7 +62,7 @@
 
 def measure_transport() -> list[tuple[float, float]]:
     """Return microseconds to send and receive one message over loopback, by its bytes."""
-    return [(float(size), take_least(lambda n=size: _time_transport(n))) for size in MESSAGE_BYTES]
+    return [(float(size), min_of_runs(lambda n=size: _time_transport(n))) for size in MESSAGE_BYTES]
 
 
 def _time_coding(message, size: int) -> float:
@@ -74,7 +74,7 @@
 
 
 def _time_transport(size: int) -> float:
-    # Plain sockets, as in the daemon: awaitable ones cost four times as much.
+    # The daemon uses plain sockets too; awaitable ones cost four times as much.
     context = zmq.Context()
     router = context.socket(zmq.ROUTER)
     port = router.bind_to_random_port("tcp://127.0.0.1")
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/node_costs.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/node_costs.py
@@ -1,5 +1,3 @@
-"""Work out from measured slopes what one node spends at a size."""
-
 from dataclasses import dataclass
 
 from geraniumlead.ownership.owners import MAX_OWNERS, MIN_CONNECTIONS_PER_OWNER
@@ -8,19 +6,22 @@
 MICROSECONDS_PER_S = 1e6
 BYTES_PER_MB = 1e6
 TICKS_PER_S = 200.0
-"""Batching ticks a second at the default tick of 5 ms."""
+"""Batching ticks per second at the default tick of 5 ms."""
 
-REMEMBERED_S = 600.0
-"""Time for which a ticket is remembered: ten validity times of a minute."""
+TICKET_RETENTION_S = 600.0
+"""How long a ticket is kept: ten times its validity of one minute."""
 
 WATCHERS_PER_DATA_CENTRE = 2
 DOCUMENT_BYTES = 514.0
-"""A contract of the examples (404 bytes on the average) and 110 bytes of headers."""
+"""An average contract of the examples (404 bytes) and 110 bytes of headers."""
 
 
 @dataclass(slots=True, frozen=True)
 class NodeCosts:
-    """Hold the figures of one node at one size; cores are of the kind measured on."""
+    """Estimated costs of one node at a deployment size.
+
+    Cores are those of the machine on which the record was written.
+    """
 
     owners_per_upstream: float
     owned_upstreams: float
@@ -38,23 +39,23 @@
     contract_mb: float
     peer_mb: float
     ticket_mb: float
-    spread_bytes_per_s: float
+    propagation_bytes_per_s: float
     platform_calls_per_s: float
 
     @classmethod
     def from_slopes(cls, size: DeploymentSize, measured: dict) -> "NodeCosts":
-        """Compute from the record that ``make capacity`` wrote."""
+        """Calculate the costs from the record that ``make capacity`` writes."""
         slopes = measured["slopes"]
         owners = _owners(size)
         subqueries = size.subqueries_per_node_s
         remote_share = 1.0 - owners / size.nodes_per_data_centre
         peers = _peers_per_tick(size, measured) if remote_share > 0 else 0.0
         reached = min(peers, subqueries * remote_share / TICKS_PER_S)
-        # Subqueries out, results back, and the same for what others send to this owner.
+        # Sent subqueries and received results, and the same again for peers that use this owner.
         messages = 4.0 * reached * TICKS_PER_S
         remote_us = slopes["remote_query"]["slope"]
         owner_us = slopes["owner_batch"]["slope"]
-        # Where every instance owns every upstream, one state machine plays both parts.
+        # If every instance owns every upstream, one state machine is coordinator and owner.
         both_us = slopes["local_query"]["slope"] if remote_share <= 0 else remote_us
         coding_us = slopes["coding_subquery"]["slope"] + slopes["coding_result"]["slope"]
         call_us = slopes["upstream_call"]["slope"]
@@ -89,16 +90,18 @@
             peer_mb=size.nodes * slopes["peer"]["slope"] / BYTES_PER_MB,
             ticket_mb=size.queries_per_node_s
             * size.bookings_share
-            * REMEMBERED_S
+            * TICKET_RETENTION_S
             * slopes["ticket"]["slope"]
             / BYTES_PER_MB,
-            spread_bytes_per_s=size.changes_per_s * DOCUMENT_BYTES * size.nodes_per_data_centre,
+            propagation_bytes_per_s=size.changes_per_s
+            * DOCUMENT_BYTES
+            * size.nodes_per_data_centre,
             platform_calls_per_s=_platform_calls(size),
         )
 
     @property
     def data_cores(self) -> float:
-        """Return the cores of one node's data path, with one HTTP call a subquery."""
+        """Return the cores for the data path of one node, with one HTTP call per subquery."""
         return (
             self.coordinator_cores
             + self.owner_cores
@@ -108,12 +111,12 @@
 
     @property
     def batched_data_cores(self) -> float:
-        """Return the cores with upstream calls that carry one tick's subqueries each."""
+        """Return the cores for the data path if an upstream call carries one tick's subqueries."""
         return self.data_cores - self.upstream_call_cores + self.batched_call_cores
 
     @property
     def state_mb(self) -> float:
-        """Return the memory of what a node remembers, without the interpreter."""
+        """Return the memory for the state of a node, without the interpreter."""
         return (
             self.open_request_mb
             + self.upstream_mb
@@ -129,7 +132,7 @@
 
 
 def _peers_per_tick(size: DeploymentSize, measured: dict) -> float:
-    """Interpolate the peers that one tick reaches by the measured rows."""
+    """Return the peers that one tick reaches, scaled from the nearest measured row."""
     rows = measured["batch_spread"]
     wanted = size.nodes_per_data_centre
     nearest = min(rows, key=lambda row: abs(row["instances"] - wanted))
@@ -138,5 +141,5 @@
 
 def _platform_calls(size: DeploymentSize) -> float:
     watchers = WATCHERS_PER_DATA_CENTRE * size.data_centres
-    # Each waiting watch counts as one call; a restart reads twice and watches anew.
+    # Each pending watch counts as one call. A restart makes two reads and starts a new watch.
     return watchers + 3.0 * size.restarts_per_day / 86_400.0
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/ownership_moves.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/ownership_moves.py
@@ -1,4 +1,4 @@
-"""Count the upstreams that change owners when instances come and go."""
+"""Count the ownerships that move when instances of a data centre disappear."""
 
 from geraniumlead.hashing import rank_by_rendezvous
 
@@ -9,7 +9,7 @@
 
 
 def measure_moves() -> list[dict]:
-    """Return, by instances in a data centre, what one instance and one rack move."""
+    """Return how many ownerships move for one instance and for one rack, by instances."""
     upstreams = [f"lookup-{number}" for number in range(UPSTREAMS_PER_DATA_CENTRE)]
     rows = []
     for count in INSTANCE_COUNTS:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/page.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/page.py
@@ -1,4 +1,4 @@
-"""Write docs/CAPACITY.md from the measured records, so that no figure can differ from them."""
+"""Render docs/CAPACITY.md from the records, so that all its figures are those of the records."""
 
 from geraniumlead_standins.capacity.deployment_size import SIZES, TARGET
 from geraniumlead_standins.capacity.node_costs import NodeCosts
@@ -78,7 +78,7 @@
 def _render_roles(costs: list) -> str:
     headings = ["role", "figure", *(size.name for size, _ in costs)]
     rows = [
-        [role, figure, *(_show(value(size, found)) for size, found in costs)]
+        [role, figure, *(_format_number(value(size, found)) for size, found in costs)]
         for role, figure, value in _ROWS
     ]
     return "## Each role at three sizes, for one node\n\n" + build_table(headings, rows)
@@ -111,13 +111,17 @@
     ("tickets", "remembered tickets, MB", lambda size, found: found.ticket_mb),
     ("member", "peers, MB", lambda size, found: found.peer_mb),
     ("member", "upstreams, MB", lambda size, found: found.upstream_mb),
-    ("watcher", "bytes a second to spread changes", lambda size, found: found.spread_bytes_per_s),
+    (
+        "watcher",
+        "bytes a second to spread changes",
+        lambda size, found: found.propagation_bytes_per_s,
+    ),
     ("platform", "calls a second, whole fleet", lambda size, found: found.platform_calls_per_s),
     ("upstream", "subqueries a second", lambda size, found: found.subqueries_per_server_s),
 )
 
 
-def _show(value: float) -> str:
+def _format_number(value: float) -> str:
     if value == 0:
         return "0"
     if value >= 100:
@@ -135,8 +139,8 @@
         ]
         for row in measured["fan_out"]
     ]
-    beside = build_table(["shards", "bare, us", "instance, us", "times"], rows)
-    spread = build_table(
+    fan_out = build_table(["shards", "bare, us", "instance, us", "times"], rows)
+    batch_spread = build_table(
         ["instances", "random owner", "by rank", "smallest cover"],
         [
             [row["instances"], row["random"], row["affinity"], row["cover"]]
@@ -152,7 +156,7 @@
         per_server=f"{target.subqueries_per_server_s:,.0f}",
         refused_us=measured["refused_us"],
     )
-    return f"{text.strip()}\n\n{beside}\n\nPeers that one tick reaches:\n\n{spread}"
+    return f"{text.strip()}\n\n{fan_out}\n\nPeers that one tick reaches:\n\n{batch_spread}"
 
 
 def _render_control(measured: dict, control: dict, costs: list) -> str:
@@ -163,7 +167,7 @@
             for row in measured["idle"]
         ],
     )
-    beats = build_table(
+    heartbeats = build_table(
         ["instances a data centre", "instances", "bytes a second", "us a call", "core share"],
         [
             [
@@ -191,11 +195,11 @@
     )
     text = CONTROL_TEXT.format(
         state=f"{costs[-1][1].state_mb:.1f}",
-        spread=f"{costs[-1][1].spread_bytes_per_s / 1000.0:.1f}",
+        spread=f"{costs[-1][1].propagation_bytes_per_s / 1000.0:.1f}",
         overhead=control["overhead_bytes_assumed"],
         idle=measured["idle"][0]["resident_mib"],
     )
-    return "\n\n".join((text.strip(), idle, beats, changes))
+    return "\n\n".join((text.strip(), idle, heartbeats, changes))
 
 
 def _render_tail(measured: dict) -> str:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/page_text.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/page_text.py
@@ -1,4 +1,4 @@
-"""Hold the prose of the capacity page; its figures come from the records."""
+"""The texts of the capacity page. Most figures come from the records."""
 
 OPENING = """
 # Capacity
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/processes.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/processes.py
@@ -1,4 +1,4 @@
-"""Start and end the processes of a measurement."""
+"""Start and stop the processes of a measurement."""
 
 import subprocess
 import sys
@@ -12,7 +12,7 @@
 
 
 class ProcessGroup:
-    """Hold the processes that one measurement started, and end just those."""
+    """The processes that one measurement started; only these are stopped at the end."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -22,18 +22,18 @@
         return self
 
     def __exit__(self, *details) -> None:
-        self.end_all()
+        self.stop_all()
 
     def start_module(self, name: str, module: str, *arguments: str) -> subprocess.Popen:
-        """Start a Python module; its standard error goes to a file in the folder."""
+        """Start a Python module; its output goes to a log file in the folder."""
         command = [sys.executable, "-m", module, *arguments]
         with (self.folder / f"{name}.log").open("ab") as log:
             process = subprocess.Popen(command, stderr=log, stdout=log)
         self._processes.append(process)
         return process
 
-    def end_all(self) -> None:
-        """Ask every process to stop, and kill those that do not."""
+    def stop_all(self) -> None:
+        """Terminate every process, and kill those that have not stopped after 10 s."""
         for process in self._processes:
             if process.poll() is None:
                 process.terminate()
@@ -47,7 +47,7 @@
 
 
 def wait_until_ready(url: str) -> float:
-    """Wait until a GET answers 200; return the seconds that it took."""
+    """Wait until a GET request returns 200; return the seconds that it took."""
     started = time.monotonic()
     while time.monotonic() - started < READY_TIMEOUT_S:
         try:
@@ -57,4 +57,4 @@
         except (URLError, OSError):
             pass
         time.sleep(0.05)
-    raise TimeoutError(f"{url} did not get ready in {READY_TIMEOUT_S} s")
+    raise TimeoutError(f"{url} was not ready after {READY_TIMEOUT_S} s")
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/record.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/record.py
@@ -28,30 +28,30 @@
 FAN_OUTS = ((20, 1_600), (50, 800), (100, 400), (200, 240))
 
 
-def measure_all(folder: Path, tell: Callable[[str], None]) -> dict:
-    """Run every measurement; ``tell`` hears what is being measured."""
-    return measure_processes(measure_lines({}, tell), folder, tell)
+def measure_all(folder: Path, report_progress: Callable[[str], None]) -> dict:
+    """Run every measurement; ``report_progress`` is called with the name of each one."""
+    return measure_processes(measure_lines({}, report_progress), folder, report_progress)
 
 
-def measure_lines(record: dict, tell: Callable[[str], None]) -> dict:
-    """Measure what needs no other process, and return the record with it."""
-    tell("decisions")
+def measure_lines(record: dict, report_progress: Callable[[str], None]) -> dict:
+    """Run the measurements that need no other process; return the record with their results."""
+    report_progress("decisions")
     slopes = record.get("slopes", {}) | {
         "local_query": build_slope("us", "shard", measure_local_query()),
         "remote_query": build_slope("us", "shard", measure_remote_query()),
         "owner_batch": build_slope("us", "subquery", measure_owner()),
     }
     refused_us = round(measure_refused(), 2)
-    tell("messages")
+    report_progress("messages")
     subqueries, results = measure_coding()
     slopes["coding_subquery"] = build_slope("us", "subquery", subqueries)
     slopes["coding_result"] = build_slope("us", "result", results)
     slopes["batch_bytes"] = build_slope("bytes", "subquery", measure_bytes())
     slopes["message"] = build_slope("us", "byte", measure_transport())
-    tell("memory")
+    report_progress("memory")
     for name, points in measure_state_memory().items():
         slopes[name] = build_slope("bytes", name.replace("open_shard", "shard"), points)
-    tell("owners, batches and the tail")
+    report_progress("owners, batches and the tail")
     return record | {
         "python": platform.python_version(),
         "refused_us": refused_us,
@@ -65,23 +65,23 @@
     }
 
 
-def measure_processes(record: dict, folder: Path, tell: Callable[[str], None]) -> dict:
-    """Measure real processes, and return the record with it."""
-    tell("idle instances")
+def measure_processes(record: dict, folder: Path, report_progress: Callable[[str], None]) -> dict:
+    """Run the measurements with real processes; return the record with their results."""
+    report_progress("idle instances")
     idle = measure_idle(folder / "idle", IDLE_FIRST_PORT)
-    tell("fan-out beside the bare one")
+    report_progress("fan-out beside the bare one")
     fan_out = _measure_fan_outs(folder)
     points = [(float(row["shards"]), row["instance_us"]) for row in fan_out]
-    bare = [(float(row["shards"]), row["bare_us"]) for row in fan_out]
+    bare_points = [(float(row["shards"]), row["bare_us"]) for row in fan_out]
     slopes = record["slopes"] | {
         "instance_query": build_slope("us", "shard", points),
-        "upstream_call": build_slope("us", "call", bare),
+        "upstream_call": build_slope("us", "call", bare_points),
     }
     return record | {"idle": idle, "fan_out": fan_out, "slopes": slopes}
 
 
 def _measure_fan_outs(folder: Path) -> list[dict]:
     return [
-        measure_fan_out(folder / f"fan-out-{shards}", FIRST_PORT + 400 * place, shards, queries)
-        for place, (shards, queries) in enumerate(FAN_OUTS)
+        measure_fan_out(folder / f"fan-out-{shards}", FIRST_PORT + 400 * position, shards, queries)
+        for position, (shards, queries) in enumerate(FAN_OUTS)
     ]
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/state_memory.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/state_memory.py
@@ -1,4 +1,4 @@
-"""Measure the memory of what an instance remembers."""
+"""Measure the memory of the state that an instance holds."""
 
 import gc
 import tracemalloc
@@ -20,7 +20,7 @@
 
 
 def measure_state_memory() -> dict[str, list[tuple[float, float]]]:
-    """Return bytes by count, for each kind of state."""
+    """Return bytes by number of items, for each kind of state."""
     return {
         "upstream": _measure(UPSTREAM_COUNTS, lambda count: build_instance(count)),
         "contract": _measure(CONTRACT_COUNTS, lambda count: build_instance(20, 1, count)),
@@ -62,7 +62,7 @@
 
 
 def _issue_tickets(count: int) -> TicketRegistry:
-    book = TicketRegistry("noord-0", "a1b2c3d4e5f6", 60_000.0, Random(1))
+    registry = TicketRegistry("noord-0", "a1b2c3d4e5f6", 60_000.0, Random(1))
     for _ in range(count):
-        book.issue("customer-0", "booking", 0.0)
-    return book
+        registry.issue("customer-0", "booking", 0.0)
+    return registry
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/tail.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/tail.py
@@ -1,4 +1,4 @@
-"""Work out what the tail of a fan-out asks of each server, with and without hedges."""
+"""Simulate the tail latency of a fan-out, with and without hedges."""
 
 import numpy
 
@@ -12,12 +12,12 @@
 
 
 def needed_quantile(shards: int) -> float:
-    """Return the quantile of one server's answers that a query's p99 shows."""
+    """Return the quantile of a server's latency that determines a query's p99."""
     return 0.99 ** (1.0 / shards)
 
 
 def measure_tail(seed: int = 1) -> list[dict]:
-    """Return the p99 of a query by shards: no hedge, one hedge, and two hedges.
+    """Return the p99 latency of a query by shards, without hedges, with one and with two.
 
     Service times are lognormal; one answer in a hundred takes ten times as long. The second
     hedge follows the first after the same wait.
@@ -48,7 +48,7 @@
         worst["none"].append(first.max())
         worst["one"].append(with_one.max())
         worst["two"].append(with_two.max())
-    asked = QUERIES * shards
+    subqueries = QUERIES * shards
     return {
         "shards": shards,
         "hedge_quantile": quantile,
@@ -56,8 +56,8 @@
         "p99_none_ms": round(float(numpy.quantile(worst["none"], 0.99)), 1),
         "p99_one_ms": round(float(numpy.quantile(worst["one"], 0.99)), 1),
         "p99_two_ms": round(float(numpy.quantile(worst["two"], 0.99)), 1),
-        "extra_one_share": round(hedged / asked, 4),
-        "extra_two_share": round((hedged + hedged_twice) / asked, 4),
+        "extra_one_share": round(hedged / subqueries, 4),
+        "extra_two_share": round((hedged + hedged_twice) / subqueries, 4),
     }
 
 
--- a/packages/geraniumlead-standins/tests/standins_tests/capacity/test_page.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/capacity/test_page.py
@@ -1,4 +1,4 @@
-"""Test that the capacity page says what was measured."""
+"""Test that the capacity page agrees with the records."""
 
 from pathlib import Path
 from unittest import TestCase
@@ -18,8 +18,8 @@
         self.measured = decode((DOCS / "measurements" / "capacity.json").read_bytes())
         self.control = decode((DOCS / "measurements" / "control.json").read_bytes())
 
-    def test_page_is_what_the_records_give(self):
-        """Write it again with: python -m geraniumlead_standins.capacity --render."""
+    def test_page_is_rendered_from_the_records(self):
+        """Render the page again with: python -m geraniumlead_standins.capacity --render."""
         page = (DOCS / "CAPACITY.md").read_text()
         self.assertEqual(page, render_page(self.measured, self.control))
 
@@ -41,6 +41,6 @@
 
 
 class FitTests(TestCase):
-    def test_three_sizes_are_too_few(self):
+    def test_three_sizes_are_not_enough(self):
         with self.assertRaises(ValueError):
             build_slope("us", "shard", [(1.0, 1.0), (2.0, 2.0), (3.0, 3.0)])
