--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/__init__.py
@@ -1,4 +1,4 @@
-"""Measure the decisions under load and faults, in virtual time."""
+"""Benchmarks of the decisions under load and faults, in virtual time."""
 
 from geraniumlead_standins.bench.result_row import ResultRow
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/__main__.py
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Measure all patterns, or the named ones."""
+    """Run all load patterns, or those named on the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("names", nargs="*", help="patterns to run; all without")
     parser.add_argument("--folder", type=Path, default=Path("docs/measurements"))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/admission_cost.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/admission_cost.py
@@ -1,4 +1,4 @@
-"""Measure the processor time of one admission decision, on this machine's clock.
+"""Measure the processor time of one admission decision, in real time.
 
 ``python -m geraniumlead_standins.bench.admission_cost`` prints a table.
 """
@@ -20,15 +20,15 @@
 CONTRACT_COUNTS = (10, 1_000, 10_000)
 DECISIONS = 20_000
 INSTANCES = 7
-DEMANDING = 1_000
-"""Contracts with traffic between two reports."""
+CONTRACTS_WITH_DEMAND = 1_000
+"""Number of contracts with traffic between two demand reports."""
 
 
 def main() -> None:
-    """Print microseconds a decision and bytes a contract, for growing counts of contracts."""
+    """Print microseconds per decision and bytes per contract, by the number of contracts."""
     print("contracts  admit+end us  refuse rate us  refuse queue us  report us  bytes/contract")
     for count in CONTRACT_COUNTS:
-        # Tracing makes everything several times slower, so it is off while times are taken.
+        # Tracing memory slows everything down several times, so it is off during the timing.
         start_tracing()
         _, bytes_each = _build(count)
         stop_tracing()
@@ -69,7 +69,7 @@
 
 
 def _report(controller: AdmissionController, number: int, count: int) -> None:
-    for customer in range(min(count, DEMANDING)):
+    for customer in range(min(count, CONTRACTS_WITH_DEMAND)):
         controller._shares._request_counts[f"c{customer}"] = 1
     controller.build_demand_reports(float(number))
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/admission_variants.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/admission_variants.py
@@ -1,4 +1,4 @@
-"""Put variants of admission into an instance."""
+"""Replace the admission of an instance by variants of it."""
 
 from collections.abc import Callable
 
@@ -14,17 +14,17 @@
 
 
 class NoShares(FleetShares):
-    """Let every instance admit the whole contract."""
+    """Fleet shares that let every instance admit the whole contract."""
 
     __slots__ = ()
 
     def share_of(self, customer: str, now_ms: float) -> float:
-        """Return the whole contract."""
+        """Return 1.0, the whole contract."""
         return 1.0
 
 
-class NoHotKeys(HotKeyLimiter):
-    """Let a key take all places."""
+class NoHotKeyLimit(HotKeyLimiter):
+    """A hot key limiter that lets one key take all slots."""
 
     __slots__ = ()
 
@@ -33,32 +33,34 @@
         return True
 
 
-def use_module(instance: Instance) -> None:
-    """Leave the module in place."""
+def use_default(instance: Instance) -> None:
+    """Keep the admission that the instance has by default."""
 
 
 def use_plain_admission(instance: Instance) -> None:
-    """Replace the module by the first thin version."""
+    """Replace admission by a fixed limit on open requests."""
     _replace(instance, PlainAdmission)
 
 
 def use_aimd_limit(instance: Instance) -> None:
-    """Adapt the limit by the rival policy."""
+    """Adapt the concurrency limit by additive increase and multiplicative decrease."""
     _replace(instance, AdmissionController, lambda: ServicePool(limit=AimdLimit()))
 
 
-def use_no_key_bound(instance: Instance) -> None:
-    """Let a hot key's requests wait instead of refusing them."""
-    _replace(instance, AdmissionController, lambda: ServicePool(hot_keys=NoHotKeys()))
+def use_no_hot_key_limit(instance: Instance) -> None:
+    """Let requests for a hot key wait instead of refusing them."""
+    _replace(instance, AdmissionController, lambda: ServicePool(hot_keys=NoHotKeyLimit()))
 
 
 def use_whole_contract_everywhere(instance: Instance) -> None:
-    """Enforce the contract on each instance by itself, without shares."""
+    """Let each instance enforce the whole contract on its own, without shares."""
     _replace(instance, AdmissionController)
     instance.parts.admission._shares = NoShares(instance.parts.settings.instance_id)
 
 
-def _replace(instance: Instance, kind: type[AdmissionController], *arguments) -> None:
+def _replace(instance: Instance, admission_class: type[AdmissionController], *arguments) -> None:
     parts = instance.parts
     settings = parts.settings
-    parts.admission = kind(settings.limits, settings.instance_id, parts.random, *arguments)
+    parts.admission = admission_class(
+        settings.limits, settings.instance_id, parts.random, *arguments
+    )
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/aimd_limit.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/aimd_limit.py
@@ -1,5 +1,3 @@
-"""Adapt the limit by additive increase and multiplicative decrease: the rival policy."""
-
 from geraniumlead.admission.concurrency_limit import (
     MIN_LIMIT,
     TOLERANCE,
@@ -10,7 +8,11 @@
 
 
 class AimdLimit(ConcurrencyLimit):
-    """Add one while latency is tolerable, and cut by a fifth when it is not."""
+    """A concurrency limit with additive increase and multiplicative decrease (AIMD).
+
+    It grows by one while latency is tolerable, and shrinks by a fifth when it is not. It is the
+    alternative with which the adaptive limit is compared.
+    """
 
     __slots__ = ()
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/caller_load.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/caller_load.py
@@ -1,5 +1,3 @@
-"""Send streams of callers to a small cluster and collect what they receive."""
-
 from collections.abc import Callable
 from itertools import count
 
@@ -19,13 +17,14 @@
 WARM_UP_PER_S = 40.0
 LOAD_FROM_MS = 8_000.0
 MEASURED_FROM_MS = 10_000.0
-PERSISTENT_RETURN_MS = 1.0
+IMMEDIATE_RETRY_DELAY_MS = 1.0
 
 
 class CallerLoad:
-    """Hold one virtual run, its streams and their results.
+    """A run of a small cluster in virtual time, with streams of requests and their results.
 
-    Results count requests that arrive after ``MEASURED_FROM_MS``, in which limits find their level.
+    Results count requests that arrive from ``MEASURED_FROM_MS`` on, so that the adaptive limits
+    settle before.
     """
 
     def __init__(
@@ -44,13 +43,13 @@
             prepare(host.instance)
         self.results: dict[str, StreamResult] = {}
         self._streams: dict[str, tuple[CallerStream, int, float]] = {}
-        self._serial = count()
+        self._request_numbers = count()
         self._end_ms = 0.0
-        self.run.on_answer = self._take_answer
+        self.run.on_answer = self._handle_answer
         self._warm_up()
 
     def _warm_up(self) -> None:
-        # The upstreams begin cold; what is measured here is the warm service.
+        # Upstreams start cold, but the results are about warm ones.
         stream = CallerStream(
             "lookup", WARM_UP_PER_S, start_ms=WARM_UP_FROM_MS, end_ms=LOAD_FROM_MS, label="warm-up"
         )
@@ -58,7 +57,7 @@
         self._schedule(stream, stream.start_ms)
 
     def add(self, stream: CallerStream) -> None:
-        """Schedule the first request of a stream; each one schedules the next."""
+        """Schedule the first request of a stream; each request schedules the next one."""
         self.results.setdefault(stream.name, StreamResult())
         self._end_ms = max(self._end_ms, stream.end_ms)
         if stream.rate_per_s > 0.0:
@@ -70,42 +69,54 @@
 
     @property
     def measured_s(self) -> float:
-        """Return the time in which requests arrive that count."""
+        """Return the length of the time in which arriving requests count in the results."""
         return (self._end_ms - MEASURED_FROM_MS) / 1_000.0
 
-    def rows(self, pattern: str, variant: str, **more: float) -> list[ResultRow]:
-        """Return a row for each stream."""
-        fallen = sum(upstream.fallen for upstream in self.run.upstreams.values())
+    def rows(self, pattern: str, variant: str, **extra_figures: float) -> list[ResultRow]:
+        """Return one row per stream."""
+        fall_count = sum(upstream.fallen for upstream in self.run.upstreams.values())
         crashes = sum(upstream.crashes for upstream in self.run.upstreams.values())
         measured_s = self.measured_s
         return [
-            self._row(pattern, variant, name, found, measured_s, fallen + crashes, more)
-            for name, found in self.results.items()
+            self._row(
+                pattern,
+                variant,
+                name,
+                result,
+                measured_s,
+                fall_count + crashes,
+                extra_figures,
+            )
+            for name, result in self.results.items()
         ]
 
-    def _row(self, pattern, variant, name, found, measured_s, fallen, more) -> ResultRow:
-        answered = len(found.latencies_ms)
-        first = found.subqueries - found.extra_subqueries
+    def _row(
+        self, pattern, variant, name, result, measured_s, fall_count, extra_figures
+    ) -> ResultRow:
+        answered_count = len(result.latencies_ms)
+        first_subqueries = result.subqueries - result.extra_subqueries
         return ResultRow(
             pattern=pattern,
             variant=variant,
             class_name=name,
-            p50_ms=_rounded(found.quantile_ms(0.5)),
-            p99_ms=_rounded(found.quantile_ms(0.99)),
-            p999_ms=_rounded(found.quantile_ms(0.999)),
-            coverage=round(sum(found.coverage) / answered, 5) if answered else None,
-            goodput_per_s=round(answered / measured_s, 1),
-            refused=sum(found.refused.values()),
-            extra_load_share=round(found.extra_subqueries / first, 5) if first else 0.0,
-            fallen=fallen,
-            refused_by_reason=dict(found.refused),
+            p50_ms=_rounded(result.quantile_ms(0.5)),
+            p99_ms=_rounded(result.quantile_ms(0.99)),
+            p999_ms=_rounded(result.quantile_ms(0.999)),
+            coverage=round(sum(result.coverage) / answered_count, 5) if answered_count else None,
+            goodput_per_s=round(answered_count / measured_s, 1),
+            refused=sum(result.refused.values()),
+            extra_load_share=(
+                round(result.extra_subqueries / first_subqueries, 5) if first_subqueries else 0.0
+            ),
+            fallen=fall_count,
+            refused_by_reason=dict(result.refused),
             more={
-                "sent": float(found.sent),
-                "failed": float(found.failed),
-                "past_deadline": float(found.late),
-                "refused_at_once": round(found.refused_at_once_share(), 4),
-                "longest_refusal_ms": round(max(found.refusal_ms, default=0.0), 2),
-                **more,
+                "sent": float(result.sent),
+                "failed": float(result.failed),
+                "past_deadline": float(result.late),
+                "refused_at_once": round(result.refused_at_once_share(), 4),
+                "longest_refusal_ms": round(max(result.refusal_ms, default=0.0), 2),
+                **extra_figures,
             },
         )
 
@@ -118,12 +129,12 @@
     def _arrive(self, stream: CallerStream, at_ms: float) -> None:
         self._schedule(stream, at_ms)
         random = self.run.random
-        self._send(stream, stream.key_of(random), stream.query_of(random), 0)
+        self._send(stream, stream.draw_key(random), stream.draw_query(random), 0)
 
-    def _send(self, stream: CallerStream, key: str | None, query: bytes, returns: int) -> None:
+    def _send(self, stream: CallerStream, key: str | None, query: bytes, retries: int) -> None:
         now_ms = self.run.now_ms
         request = CallerRequest(
-            request_id=f"q{next(self._serial)}",
+            request_id=f"q{next(self._request_numbers)}",
             customer=stream.customer,
             class_name=stream.class_name,
             query=query,
@@ -131,34 +142,34 @@
             deadline_ms=now_ms + stream.deadline_ms,
             least_coverage=1.0,
             key=key,
-            attempt=returns + 1,
+            attempt=retries + 1,
         )
-        self._streams[request.request_id] = (stream, key, query, returns, now_ms)
+        self._streams[request.request_id] = (stream, key, query, retries, now_ms)
         if now_ms >= MEASURED_FROM_MS:
             self.results[stream.name].sent += 1
         names = list(self.cluster.settings)
         self.run.deliver(self.run.random.choice(names), QueryArrived(request))
 
-    def _take_answer(self, name: str, action: AnswerCaller, now_ms: float) -> None:
-        stream, key, query, returns, sent_ms = self._streams.pop(action.request_id)
-        found = self.results.get(stream.name, self._warm_up_result)
+    def _handle_answer(self, name: str, action: AnswerCaller, now_ms: float) -> None:
+        stream, key, query, retries, sent_ms = self._streams.pop(action.request_id)
+        result = self.results.get(stream.name, self._warm_up_result)
         if sent_ms >= MEASURED_FROM_MS:
             is_late = now_ms > sent_ms + stream.deadline_ms + 0.001
-            found.add(action.outcome, now_ms - sent_ms, is_late)
-            found.subqueries += action.subqueries
-            found.extra_subqueries += action.extra_subqueries
-        if not isinstance(action.outcome, NotRun) or returns >= stream.most_returns:
+            result.add(action.outcome, now_ms - sent_ms, is_late)
+            result.subqueries += action.subqueries
+            result.extra_subqueries += action.extra_subqueries
+        if not isinstance(action.outcome, NotRun) or retries >= stream.max_retries:
             return
         match stream.after_refusal:
-            case AfterRefusal.RETURN_AT_ONCE:
-                wait_ms = PERSISTENT_RETURN_MS
-            case AfterRefusal.HONOUR_TIME:
+            case AfterRefusal.RETRY_AT_ONCE:
+                wait_ms = IMMEDIATE_RETRY_DELAY_MS
+            case AfterRefusal.HONOUR_RETRY_AFTER:
                 wait_ms = action.outcome.retry_after_ms
             case _:
                 return
-        if now_ms + wait_ms < max(stream.end_ms, stream.returns_until_ms):
-            again = lambda: self._send(stream, key, query, returns + 1)  # noqa: E731
-            self.run.queue.add(now_ms + wait_ms, again)
+        if now_ms + wait_ms < max(stream.end_ms, stream.retry_until_ms):
+            retry = lambda: self._send(stream, key, query, retries + 1)  # noqa: E731
+            self.run.queue.add(now_ms + wait_ms, retry)
 
 
 def _rounded(value: float | None) -> float | None:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/configuration/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Measure how long a change takes to be in force, and what it asks of the platform."""
+"""Measure how long a change takes to be in force, and how many platform calls there are."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/configuration/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/configuration/__main__.py
@@ -1,4 +1,4 @@
-"""Run ``python -m geraniumlead_standins.bench.configuration``; write configuration.md."""
+"""Write configuration.md: ``python -m geraniumlead_standins.bench.configuration``."""
 
 import argparse
 import asyncio
@@ -6,9 +6,9 @@
 from tempfile import TemporaryDirectory
 
 from geraniumlead_standins.bench.configuration.calls_by_role import measure_calls_by_role
-from geraniumlead_standins.bench.configuration.process_spread import ProcessSpread
-from geraniumlead_standins.bench.configuration.spread_row import SpreadRow
-from geraniumlead_standins.bench.configuration.virtual_spread import measure_virtual
+from geraniumlead_standins.bench.configuration.process_propagation import ProcessPropagation
+from geraniumlead_standins.bench.configuration.propagation_row import PropagationRow
+from geraniumlead_standins.bench.configuration.virtual_propagation import measure_virtual
 
 FIRST_PORT = 25_500
 
@@ -34,7 +34,7 @@
 """
 
 
-def _render_row(row: SpreadRow) -> str:
+def _render_row(row: PropagationRow) -> str:
     cells = (
         *(row.driver, row.case, row.instances, row.changes),
         *(row.median_ms, row.slowest_ms, row.late, row.platform_calls_per_s),
@@ -47,14 +47,14 @@
 
 
 def main() -> None:
-    """Measure and write the page."""
+    """Run the measurements and write the page."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--folder", type=Path, default=Path("docs/measurements"))
     parser.add_argument("--first-port", type=int, default=FIRST_PORT)
     arguments = parser.parse_args()
     with TemporaryDirectory() as folder:
-        spread = ProcessSpread(Path(folder), arguments.first_port)
-        rows = asyncio.run(spread.measure())
+        propagation = ProcessPropagation(Path(folder), arguments.first_port)
+        rows = asyncio.run(propagation.measure())
     rows += measure_virtual()
     text = HEAD + "".join(_render_row(row) for row in rows) + ROLES
     text += _render_roles("up", measure_calls_by_role(is_down=False))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/configuration/calls_by_role.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/configuration/calls_by_role.py
@@ -1,16 +1,16 @@
-"""Count the platform's calls by role in virtual time."""
+"""Count platform calls by the role of the instance, in virtual time."""
 
 from collections import Counter
 
 from geraniumlead.actions import ReadPlatform
-from geraniumlead_standins.bench.configuration.virtual_spread import SETTLE_MS, SIZE
+from geraniumlead_standins.bench.configuration.virtual_propagation import SETTLE_MS, SIZE
 from geraniumlead_standins.virtual.small_cluster import SmallCluster
 
 MEASURED_MS = 20_000.0
 
 
 def measure_calls_by_role(is_down: bool) -> dict[str, float]:
-    """Return calls a second of all watchers, reads of all others, and of the whole."""
+    """Return reads per second that watchers and others begin, and all answered calls per second."""
     cluster = SmallCluster.from_size(SIZE, 1)
     run = cluster.run
     run.queue.run_until(SETTLE_MS)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/configuration/process_spread.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/configuration/process_propagation.py
@@ -1,5 +1,3 @@
-"""Measure the spread over seven instances as real processes."""
-
 import asyncio
 from pathlib import Path
 from statistics import median
@@ -9,7 +7,7 @@
 from msgspec.json import decode, encode
 
 from geraniumlead.documents import DocumentKind, document_key
-from geraniumlead_standins.bench.configuration.spread_row import SpreadRow
+from geraniumlead_standins.bench.configuration.propagation_row import PropagationRow
 from geraniumlead_standins.demo.free_ports import find_base_port
 from geraniumlead_standins.demo.process_group import ProcessGroup
 from geraniumlead_standins.deployments import (
@@ -21,15 +19,19 @@
 
 BOUND_S = 6.0
 START_BOUND_S = 30.0
-LOOK_S = 0.01
+POLL_INTERVAL_S = 0.01
 CHANGES = 10
 PAUSE_S = 0.3
-DOWN_S = 8.0
+OUTAGE_S = 8.0
 PLATFORM = "platform"
 
 
-class ProcessSpread:
-    """Run the platform's stand-in and the daemons, publish, and ask each what is in force."""
+class ProcessPropagation:
+    """Measures how a change propagates to seven instances that run as real processes.
+
+    It runs the platform's stand-in and the instances, publishes changes, and polls every
+    instance for the revision that is in force.
+    """
 
     def __init__(self, folder: Path, first_port: int) -> None:
         self._folder = folder
@@ -41,17 +43,17 @@
         self._settings = build_instance_settings(deployment, self._addresses)
         self._processes = ProcessGroup(folder)
         self._alive = list(self._settings)
-        self._serial = 0
+        self._change_count = 0
 
-    async def measure(self) -> list[SpreadRow]:
-        """Return one row for each case; no process is left, whatever happens."""
+    async def measure(self) -> list[PropagationRow]:
+        """Return one row per case; all processes are stopped even after an error."""
         timeout = ClientTimeout(total=2.0)
         async with ClientSession(timeout=timeout) as self._session:
             try:
                 await self._start()
                 return [
                     await self._measure_plain(),
-                    await self._measure_after_down(),
+                    await self._measure_after_outage(),
                     await self._measure_without_watchers(),
                 ]
             finally:
@@ -73,37 +75,37 @@
             while not all([await self._is_ready(name) for name in self._alive]):
                 await asyncio.sleep(0.1)
 
-    async def _measure_plain(self) -> SpreadRow:
+    async def _measure_plain(self) -> PropagationRow:
         times_s = []
         calls, started_s = await self._calls(), monotonic()
         for _ in range(CHANGES):
-            times_s.append(await self._time_to_force(await self._publish()))
+            times_s.append(await self._time_until_in_force(await self._publish()))
             await asyncio.sleep(PAUSE_S)
         rate = (await self._calls() - calls) / (monotonic() - started_s)
         return self._row("nothing fails", times_s, rate)
 
-    async def _measure_after_down(self) -> SpreadRow:
+    async def _measure_after_outage(self) -> PropagationRow:
         await self._put("/faults", {"down": True})
         revision = await self._publish()
         calls, started_s = await self._calls(), monotonic()
-        await asyncio.sleep(DOWN_S)
+        await asyncio.sleep(OUTAGE_S)
         rate = (await self._calls() - calls) / (monotonic() - started_s)
         await self._put("/faults", {})
-        times_s = [await self._time_to_force(revision)]
+        times_s = [await self._time_until_in_force(revision)]
         return self._row("from the end of 8 s of a platform that was down", times_s, rate)
 
-    async def _measure_without_watchers(self) -> SpreadRow:
+    async def _measure_without_watchers(self) -> PropagationRow:
         for name in list(self._alive):
             if name.startswith("noord") and (await self._status(name))["is_watcher"]:
                 self._processes.kill(name)
                 self._alive.remove(name)
         calls, started_s = await self._calls(), monotonic()
-        times_s = [await self._time_to_force(await self._publish())]
+        times_s = [await self._time_until_in_force(await self._publish())]
         rate = (await self._calls() - calls) / (monotonic() - started_s)
         return self._row("both watchers of noord were just killed", times_s, rate)
 
-    def _row(self, case: str, times_s: list[float], calls_per_s: float) -> SpreadRow:
-        return SpreadRow(
+    def _row(self, case: str, times_s: list[float], calls_per_s: float) -> PropagationRow:
+        return PropagationRow(
             driver="processes",
             case=case,
             instances=len(self._alive),
@@ -115,20 +117,22 @@
         )
 
     async def _publish(self) -> int:
-        self._serial += 1
+        self._change_count += 1
         prefix = document_key(DocumentKind.CONTRACT, "")
         key = next(key for key in self._documents if key.startswith(prefix))
-        document = decode(encode(self._documents[key])) | {"burst_requests": 100 + self._serial}
+        document = decode(encode(self._documents[key])) | {
+            "burst_requests": 100 + self._change_count
+        }
         return (await self._put("/publish", {key: document}))["revision"]
 
-    async def _time_to_force(self, revision: int) -> float:
+    async def _time_until_in_force(self, revision: int) -> float:
         started_s = monotonic()
         waiting = set(self._alive)
         while waiting and monotonic() - started_s < 3 * BOUND_S:
             for name in list(waiting):
                 if (await self._status(name))["revision"] >= revision:
                     waiting.discard(name)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return monotonic() - started_s
 
     async def _status(self, name: str) -> dict:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/configuration/virtual_spread.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/configuration/virtual_propagation.py
@@ -1,4 +1,4 @@
-"""Measure the spread over 220 state machines in virtual time."""
+"""Measure how a change propagates to 220 state machines in virtual time."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from geraniumlead.documents import DocumentKind, document_key
-from geraniumlead_standins.bench.configuration.spread_row import SpreadRow
+from geraniumlead_standins.bench.configuration.propagation_row import PropagationRow
 from geraniumlead_standins.virtual.small_cluster import (
     ClusterSize,
     SmallCluster,
@@ -17,7 +17,7 @@
 
 BOUND_MS = 6_000.0
 SETTLE_MS = 4_000.0
-LOOK_MS = 5.0
+POLL_INTERVAL_MS = 5.0
 CHANGES = 5
 SEEDS = (1, 2, 3)
 SIZE = ClusterSize(
@@ -28,10 +28,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Case:
-    """Name a failure and put it on a cluster just before each change."""
+    """A fault that is injected just before each change, and the recovery from it."""
 
     name: str
-    disturb: Callable[[SmallCluster], None]
+    inject_fault: Callable[[SmallCluster], None]
     recover: Callable[[SmallCluster], None] = lambda cluster: None
 
 
@@ -55,51 +55,51 @@
                 cluster.run.kill(name)
 
 
-def _lose_half(cluster: SmallCluster) -> None:
+def _lose_half_of_messages(cluster: SmallCluster) -> None:
     cluster.run.link.loss = 0.5
 
 
-def _lose_nothing(cluster: SmallCluster) -> None:
+def _lose_no_messages(cluster: SmallCluster) -> None:
     cluster.run.link.loss = 0.0
 
 
-def _cut_from_platform(cluster: SmallCluster) -> None:
+def _isolate_from_platform(cluster: SmallCluster) -> None:
     local = {name for name in cluster.run.instances if name.startswith("centre0-")}
     cluster.run.link.cut_between(local, {"platform"})
 
 
-def _heal(cluster: SmallCluster) -> None:
+def _reconnect(cluster: SmallCluster) -> None:
     cluster.run.link.heal()
 
 
 CASES = (
     Case("nothing fails", lambda cluster: None),
-    Case("half of all messages are lost", _lose_half, _lose_nothing),
+    Case("half of all messages are lost", _lose_half_of_messages, _lose_no_messages),
     Case("all watchers of one data centre are killed", _kill_watchers_of_one, _start_killed),
     Case("all watchers of all data centres are killed", _kill_watchers, _start_killed),
-    Case("one data centre is cut off from the platform", _cut_from_platform, _heal),
+    Case("one data centre is cut off from the platform", _isolate_from_platform, _reconnect),
 )
 
 
-def measure_virtual() -> list[SpreadRow]:
-    """Return one row for each case."""
+def measure_virtual() -> list[PropagationRow]:
+    """Return one row per case."""
     return [_measure(case) for case in CASES]
 
 
-def _measure(case: Case) -> SpreadRow:
+def _measure(case: Case) -> PropagationRow:
     times_ms, calls, seconds = [], 0, 0.0
     for seed in SEEDS:
         cluster = SmallCluster.from_size(SIZE, seed)
         cluster.run.queue.run_until(SETTLE_MS)
         calls_before, started_ms = cluster.run.platform.calls, cluster.run.now_ms
         for number in range(CHANGES):
-            case.disturb(cluster)
+            case.inject_fault(cluster)
             times_ms.append(_time_change(cluster, 1_000.0 * seed + number))
             case.recover(cluster)
             cluster.run.queue.run_until(cluster.run.now_ms + SETTLE_MS)
         calls += cluster.run.platform.calls - calls_before
         seconds += (cluster.run.now_ms - started_ms) / 1_000.0
-    return SpreadRow(
+    return PropagationRow(
         driver="virtual",
         case=case.name,
         instances=len(SIZE.data_centres) * SIZE.instances,
@@ -117,7 +117,7 @@
     run.publish({KEY: encode(replace(default_contract(), rate_per_s=rate_per_s))})
     started_ms, revision = run.now_ms, run.platform.revision
     while run.now_ms - started_ms < 3 * BOUND_MS:
-        run.queue.run_until(run.now_ms + LOOK_MS)
+        run.queue.run_until(run.now_ms + POLL_INTERVAL_MS)
         if all(
             run.instances[name].instance.parts.store.revision >= revision
             for name in _living(cluster)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/control.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/control.py
@@ -1,9 +1,9 @@
 """Measure what the control plane costs a node: ``python -m geraniumlead_standins.bench.control``.
 
-One data centre of real state machines runs idle in virtual time, listed together with ten
-others of the same size. What remote peers would send comes back as an echo of what is sent to
-them, since all instances send at the same rate. CPU is of the decisions; the cost of a
-message in the transport is measured beside it, over loopback.
+The state machines of one data centre run idle in virtual time; ten other data centres of the
+same size are listed, but don't run. Each heartbeat to a remote peer is echoed back, since all
+instances send at the same rate. CPU time is that of the decisions. The cost of a message in the
+transport is measured separately, over loopback.
 """
 
 import argparse
@@ -45,8 +45,8 @@
 CHANGES = 20
 
 OVERHEAD_BYTES = 110
-"""Beyond the payload, for one message alone in its packet: IP and TCP headers with
-timestamps 52, ZMTP frames and CURVE box about 58. Assumed, not measured."""
+"""Assumed overhead of a message that is alone in its packet: 52 bytes for the IP and TCP headers
+with timestamps, and about 58 for the ZMTP frames and the CURVE box."""
 
 TARGET_BYTES_PER_S = 24_000
 TARGET_CORE_SHARE = 0.028
@@ -54,23 +54,23 @@
 
 
 class ControlCluster:
-    """Count what one data centre's instances send, and the time that they take."""
+    """The instances of one data centre, with counts of what they send and the time they take."""
 
     def __init__(self, instances: int) -> None:
         self.cluster = SmallCluster.from_size(ClusterSize(instances=instances, shards=1), 1)
         self.run = self.cluster.run
         self.messages = 0
         self.payload_bytes = 0
-        self.run.on_action = self._count
+        self.run.on_action = self._count_sent
         self._names = list(self.run.instances)
         self.run.publish(_remote_lists(instances))
 
     def measure(self) -> dict:
-        """Return the costs of one node a second."""
+        """Return the costs of one node per second."""
         self.run.queue.run_until(SETTLE_MS)
         self.messages = self.payload_bytes = 0
-        watch = HandleWatch()
-        with watch:
+        timer = HandleTimer()
+        with timer:
             self.run.queue.run_until(SETTLE_MS + MEASURED_MS)
         node_seconds = len(self._names) * MEASURED_MS / 1_000.0
         return {
@@ -79,12 +79,12 @@
             "sent_messages_per_s": round(self.messages / node_seconds, 2),
             "sent_payload_bytes_per_s": round(self.payload_bytes / node_seconds, 1),
             "payload_bytes_per_message": round(self.payload_bytes / self.messages, 1),
-            "handle_calls_per_s": round(watch.calls / node_seconds, 2),
-            "handle_us_per_call": round(watch.spent_s / watch.calls * 1e6, 2),
-            "handle_core_share": round(watch.spent_s / node_seconds, 6),
+            "handle_calls_per_s": round(timer.calls / node_seconds, 2),
+            "handle_us_per_call": round(timer.elapsed_s / timer.calls * 1e6, 2),
+            "handle_core_share": round(timer.elapsed_s / node_seconds, 6),
         }
 
-    def _count(self, name: str, action: Action, now_ms: float) -> None:
+    def _count_sent(self, name: str, action: Action, now_ms: float) -> None:
         if not isinstance(action, SendToPeer):
             return
         self.messages += 1
@@ -95,35 +95,35 @@
             self.run.queue.add(now_ms + 1.0, lambda: self.run.deliver(receiver, event))
 
 
-class HandleWatch:
-    """Add up the time inside ``Instance.handle`` while it is entered."""
+class HandleTimer:
+    """A context manager that sums the time and the calls of ``Instance.handle``."""
 
     def __init__(self) -> None:
         self.calls = 0
-        self.spent_s = 0.0
-        self._plain = Instance.handle
+        self.elapsed_s = 0.0
+        self._original_handle = Instance.handle
 
-    def __enter__(self) -> "HandleWatch":
-        plain, watch = self._plain, self
+    def __enter__(self) -> "HandleTimer":
+        plain, timer = self._original_handle, self
 
         def timed(instance, event, now_ms):
             started_s = perf_counter()
             actions = plain(instance, event, now_ms)
-            watch.spent_s += perf_counter() - started_s
-            watch.calls += 1
+            timer.elapsed_s += perf_counter() - started_s
+            timer.calls += 1
             return actions
 
         Instance.handle = timed
         return self
 
     def __exit__(self, *exception) -> None:
-        Instance.handle = self._plain
+        Instance.handle = self._original_handle
 
 
 def _remote_lists(instances: int) -> dict[str, bytes]:
     values = {}
-    for place in range(REMOTE_DATA_CENTRES):
-        name = f"remote{place}"
+    for data_centre_number in range(REMOTE_DATA_CENTRES):
+        name = f"remote{data_centre_number}"
         entries = [
             InstanceEntry(instance_id=f"{name}-{number}", peer_address="10.1.0.1:1")
             for number in range(instances)
@@ -135,13 +135,13 @@
 
 def _upstream_lists() -> dict[str, bytes]:
     values = {}
-    for place in range(REMOTE_DATA_CENTRES):
-        name = f"remote{place}"
+    for data_centre_number in range(REMOTE_DATA_CENTRES):
+        name = f"remote{data_centre_number}"
         entries = [
             UpstreamEntry(
                 upstream_id=f"ledger-{name}-{number}",
                 service="ledger",
-                address=f"10.2.{place}.1:{1_000 + number}",
+                address=f"10.2.{data_centre_number}.1:{1_000 + number}",
                 slots=2,
                 connections=30,
             )
@@ -153,8 +153,8 @@
 
 
 def measure_changes(instances: int) -> dict:
-    """Return the time one instance takes to bring a change into force at the target's size."""
-    # Else the collector walks over what the measurement before left behind.
+    """Return how long one instance takes to apply a change, with the target's upstreams listed."""
+    # Otherwise the collector traverses objects that the previous measurement left.
     gc.collect()
     cluster = SmallCluster.from_size(ClusterSize(instances=1), 1)
     run = cluster.run
@@ -185,15 +185,15 @@
 
 
 def _time_change(run, values: dict[str, bytes]) -> float:
-    watch = HandleWatch()
-    with watch:
+    timer = HandleTimer()
+    with timer:
         run.publish(values)
         run.queue.run_until(run.now_ms + 5.0)
-    return watch.spent_s * 1_000.0
+    return timer.elapsed_s * 1_000.0
 
 
 async def _time_transport(size: int, plain: bool) -> float:
-    """Return microseconds of a process to send and to receive one message."""
+    """Return the CPU microseconds of one process that sends and receives one message."""
     context = zmq.asyncio.Context()
     router = context.socket(zmq.ROUTER, socket_class=zmq.Socket if plain else None)
     router.setsockopt(zmq.RCVHWM, 0)
@@ -210,9 +210,9 @@
     else:
         for _ in range(MESSAGES):
             await router.recv_multipart()
-    spent_s = process_time() - started_s
+    elapsed_s = process_time() - started_s
     context.destroy(linger=0)
-    return spent_s / MESSAGES * 1e6
+    return elapsed_s / MESSAGES * 1e6
 
 
 async def _receive_plain(router: zmq.Socket) -> None:
@@ -269,7 +269,7 @@
 
 
 def main() -> None:
-    """Measure and write docs/measurements/control.json."""
+    """Run the measurements and write control.json."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--folder", type=Path, default=Path("docs/measurements"))
     arguments = parser.parse_args()
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/crash_variants.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/crash_variants.py
@@ -1,4 +1,4 @@
-"""Put variants of the crash guard into an instance."""
+"""Replace the crash guard of an instance by variants of it."""
 
 from geraniumlead.coordination import CrashGuard
 from geraniumlead.instance import Instance
@@ -7,7 +7,7 @@
 
 
 class NoGuard(CrashGuard):
-    """Send every query everywhere and retry what was lost."""
+    """A guard that sends every query to all shards and allows retries of lost subqueries."""
 
     __slots__ = ()
 
@@ -21,7 +21,7 @@
 
 
 class NoCanary(CrashGuard):
-    """Strike and quarantine, but send every query everywhere at once."""
+    """A guard with strikes and quarantine, but without canaries."""
 
     __slots__ = ()
 
@@ -31,16 +31,16 @@
 
 
 def use_no_guard(instance: Instance) -> None:
-    """Replace the module by the baseline."""
+    """Replace the crash guard by none, the baseline."""
     _replace(instance, NoGuard)
 
 
 def use_no_canary(instance: Instance) -> None:
-    """Replace the module by the rival policy."""
+    """Replace the crash guard by one without canaries, the alternative policy."""
     _replace(instance, NoCanary)
 
 
-def _replace(instance: Instance, kind: type[CrashGuard]) -> None:
+def _replace(instance: Instance, guard_class: type[CrashGuard]) -> None:
     parts = instance.parts
     planner = CanaryPlanner(parts.settings.data_centre)
-    parts.coordinator.guard = kind(parts.quarantine, planner)
+    parts.coordinator.guard = guard_class(parts.quarantine, planner)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/__init__.py
@@ -1,1 +1,1 @@
-"""Play a whole fleet before an index of many shards, in virtual time and with slow processors."""
+"""Simulate a fleet that queries an index of many shards, in virtual time with slow processors."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/__main__.py
@@ -1,10 +1,10 @@
-"""Print what callers of a fleet earn before, in and after a burst.
+"""Print the credit that callers of a fleet earn before, during and after a burst.
 
     python -m geraniumlead_standins.bench.fleet_load --instances 18 85 --core-share 0.12 0.5
 
-Each row is one run: the credit of a query in the first seconds, in calm, in a burst of three times
-the load and in the five seconds after it; that of the shorter kind in calm; and how many
-connections were opened for each part sent.
+Each row is one run. Its columns are the mean credit of a query in the first seconds, in normal
+load, of the shorter kind of query in normal load, in a burst of three times the load, and in the
+five seconds after it. The last one is the number of connections opened per subrequest sent.
 """
 
 import sys
@@ -13,7 +13,7 @@
 
 from geraniumlead_standins.bench.fleet_load.fleet_run import FleetRun
 from geraniumlead_standins.bench.fleet_load.load import PEEK, FleetLoad
-from geraniumlead_standins.bench.forwarding_bound.upstream_model import Spell
+from geraniumlead_standins.bench.forwarding_bound.upstream_model import TimeInterval
 
 QUERIES_PER_INSTANCE = 0.2
 FIRST_MS = 8_000.0
@@ -27,20 +27,20 @@
 
 
 def build_load(instances: int, core_share: float, queries_per_s: float | None = None) -> FleetLoad:
-    """Return a load with a burst of five seconds."""
+    """Return a load with a burst of five seconds after the normal load."""
     return FleetLoad(
         instances=instances,
         core_share=core_share,
         queries_per_s=queries_per_s or QUERIES_PER_INSTANCE * instances,
         first_ms=FIRST_MS,
         end_ms=END_MS,
-        burst=Spell(BURST_MS, AFTER_MS),
+        burst=TimeInterval(BURST_MS, AFTER_MS),
         burst_factor=BURST_FACTOR,
     )
 
 
 def run_row(load: FleetLoad, seed: int) -> str:
-    """Play a load; return its line of the table."""
+    """Run a load; return its line of the table."""
     run = FleetRun(load, seed).run()
     figures = [
         run.credit(FIRST_MS, CALM_MS),
@@ -48,19 +48,19 @@
         run.credit(CALM_MS, BURST_MS, PEEK),
         run.credit(BURST_MS, AFTER_MS),
         run.credit(AFTER_MS, END_MS),
-        run.connections_per_part,
+        run.connections_per_subrequest,
     ]
     cells = " | ".join(f"{figure:.3f}" for figure in figures)
     return f"| {load.instances} | {load.core_share} | {seed} | {cells} |"
 
 
 def main() -> int:
-    """Read the sizes and print the table."""
+    """Parse the command line and print the table."""
     parser = ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--instances", type=int, nargs="+", default=[18, 85])
     parser.add_argument("--core-share", type=float, nargs="+", default=[0.12, 0.5])
     parser.add_argument("--seeds", type=int, default=3, help="runs of each size")
-    parser.add_argument("--slack", type=float, help="fixed budget of second sends of the fleet")
+    parser.add_argument("--slack", type=float, help="fixed budget of extra attempts of the fleet")
     options = parser.parse_args()
     print(HEADINGS)
     print("|---" * (HEADINGS.count("|") - 1) + "|")
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/connections.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/connections.py
@@ -1,10 +1,11 @@
-"""Model the connections of one instance to upstreams."""
-
 IDLE_MS = 20_000.0
 
 
 class Connections:
-    """Count connections that were opened, and keep the idle ones until they are too old."""
+    """The connections of one instance to upstreams, with a count of those that were opened.
+
+    Idle connections are reused until they have been idle for too long.
+    """
 
     __slots__ = ("_idle", "_new", "opened")
 
@@ -13,8 +14,8 @@
         self._new: set[int] = set()
         self.opened = 0
 
-    def take(self, attempt_id: int, upstream_id: str, now_ms: float) -> bool:
-        """Take a connection for an attempt; return whether it was open already."""
+    def acquire(self, attempt_id: int, upstream_id: str, now_ms: float) -> bool:
+        """Acquire a connection for an attempt; return whether it was already open."""
         idle = self._idle.get(upstream_id)
         while idle:
             if now_ms - idle.pop() < IDLE_MS:
@@ -24,9 +25,12 @@
         return False
 
     def is_new(self, attempt_id: int) -> bool:
-        """Return whether an attempt had to open its connection."""
+        """Return whether an attempt opened a new connection."""
         return attempt_id in self._new
 
-    def give_back(self, upstream_id: str, now_ms: float) -> None:
-        """Keep a connection whose answer is whole; one that was cancelled is closed instead."""
+    def release(self, upstream_id: str, now_ms: float) -> None:
+        """Keep a connection as idle after a complete answer.
+
+        The connection of a cancelled attempt is closed and must not be released.
+        """
         self._idle.setdefault(upstream_id, []).append(now_ms)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/instance.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/instance.py
@@ -1,5 +1,3 @@
-"""Model one instance whose processor does one thing after another."""
-
 from collections import deque
 from collections.abc import Callable
 from random import Random
@@ -20,14 +18,14 @@
 
 
 def address_of(number: int) -> str:
-    """Return where an instance is reached."""
+    """Return the peer address of an instance."""
     return f"10.{number // 62_500}.{number // 250 % 250}.{number % 250 + 1}:1"
 
 
 class ModelInstance:
-    """Hold a forwarder, its connections, and the work that waits for its processor.
+    """A forwarder on a modelled processor that handles one event at a time.
 
-    ``carry_out`` gets each action when the processor has done the work for it.
+    ``execute`` is called with each action when the processor has done the work for it.
     """
 
     def __init__(
@@ -35,7 +33,7 @@
         number: int,
         load: FleetLoad,
         queue: EventQueue,
-        carry_out: Callable[["ModelInstance", ForwardingAction], None],
+        execute: Callable[["ModelInstance", ForwardingAction], None],
         seed: int,
     ) -> None:
         self.address = address_of(number)
@@ -46,8 +44,8 @@
         self._costs = load.costs
         self._core_share = load.core_share
         self._queue = queue
-        self._carry_out = carry_out
-        self._waiting: deque[tuple[float, ForwardingEvent]] = deque()
+        self._execute = execute
+        self._queued_events: deque[tuple[float, ForwardingEvent]] = deque()
         self._is_busy = False
         self.is_dead = False
         self._wake_ms = float("inf")
@@ -62,17 +60,17 @@
         )
         self.forwarder = Forwarder(settings, Random(f"{seed}/{number}"))
 
-    def take(self, event: ForwardingEvent, cost_ms: float) -> None:
-        """Let an event wait for the processor, which needs ``cost_ms`` of a whole core for it."""
+    def enqueue(self, event: ForwardingEvent, cost_ms: float) -> None:
+        """Queue an event for the processor, which needs ``cost_ms`` of a whole core for it."""
         if self.is_dead:
             return
-        self._waiting.append((cost_ms, event))
+        self._queued_events.append((cost_ms, event))
         if not self._is_busy:
-            self._begin()
+            self._begin_event()
 
-    def _begin(self) -> None:
+    def _begin_event(self) -> None:
         self._is_busy = True
-        cost_ms, event = self._waiting.popleft()
+        cost_ms, event = self._queued_events.popleft()
         done_ms = self._queue.now_ms + cost_ms / self._core_share
         self._queue.add(done_ms, lambda: self._handle(event))
 
@@ -82,17 +80,17 @@
         at_ms = self._queue.now_ms
         for action in self.forwarder.handle(event, at_ms):
             at_ms += self._cost_ms(action, at_ms) / self._core_share
-            self._queue.add(at_ms, lambda action=action: self._carry_out(self, action))
-        self._queue.add(at_ms, self._go_on)
+            self._queue.add(at_ms, lambda action=action: self._execute(self, action))
+        self._queue.add(at_ms, self._finish_event)
 
-    def _go_on(self) -> None:
-        if self._waiting:
-            self._begin()
+    def _finish_event(self) -> None:
+        if self._queued_events:
+            self._begin_event()
         else:
             self._is_busy = False
-        self._arm()
+        self._schedule_wake()
 
-    def _arm(self) -> None:
+    def _schedule_wake(self) -> None:
         wake_ms = self.forwarder.next_wake_ms()
         if wake_ms < self._wake_ms or self._wake_ms <= self._queue.now_ms:
             self._wake_ms = wake_ms
@@ -102,15 +100,15 @@
     def _wake(self, wake_ms: float) -> None:
         if wake_ms == self._wake_ms:
             self._wake_ms = float("inf")
-            self.take(TimePassed(), self._costs.timer_ms)
+            self.enqueue(TimePassed(), self._costs.timer_ms)
 
     def _cost_ms(self, action: ForwardingAction, now_ms: float) -> float:
         match action:
             case StartAttempt(attempt_id=attempt_id, upstream=upstream):
-                is_warm = self.connections.take(attempt_id, upstream.upstream_id, now_ms)
-                return self._costs.warm_part_ms if is_warm else self._costs.cold_part_ms
+                is_warm = self.connections.acquire(attempt_id, upstream.upstream_id, now_ms)
+                return self._costs.warm_subrequest_ms if is_warm else self._costs.cold_subrequest_ms
             case OutgoingPeerMessage():
-                return self._costs.letter_ms
+                return self._costs.message_ms
             case LogDecision():
                 self.logged.append(action)
         return 0.0
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/__init__.py
@@ -1,1 +1,1 @@
-"""Compare the choices on the users' platform with those of perfect knowledge."""
+"""Compare the forwarding decisions with decisions that have perfect knowledge."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/__main__.py
@@ -1,7 +1,8 @@
-"""Print what callers earn beside the most they could.
+"""Print the credit that callers earn, and the most that they could earn.
 
-``python -m geraniumlead_standins.bench.forwarding_bound --seeds 4`` plays some loads, ``--grid``
-many sizes of index, ways and goals, and ``--ablation`` the loads with one mechanism off at a time.
+``python -m geraniumlead_standins.bench.forwarding_bound --seeds 4`` runs some loads. ``--grid``
+runs many index sizes, round-trip times and latency goals; ``--ablation`` runs the loads with one
+mechanism off at a time.
 """
 
 import sys
@@ -17,17 +18,17 @@
     LoadModel("quiet, 20 shards"),
     LoadModel("a seventh slow, 20 shards", slow_share=0.15),
     LoadModel("a third slow, 20 shards", slow_share=0.33),
-    LoadModel("a shard dark, 20 shards", dark_shards=1),
-    LoadModel("quiet, 90 shards, 3 upstreams", 90, 3, queries_per_s=3.0, least_share=0.95),
+    LoadModel("a shard dark, 20 shards", unresponsive_shards=1),
+    LoadModel("quiet, 90 shards, 3 upstreams", 90, 3, queries_per_s=3.0, min_share=0.95),
     LoadModel(
-        "a seventh slow, 90 shards", 90, 3, queries_per_s=3.0, least_share=0.95, slow_share=0.15
+        "a seventh slow, 90 shards", 90, 3, queries_per_s=3.0, min_share=0.95, slow_share=0.15
     ),
-    LoadModel("quiet, 20 shards, goal of 100 ms", work_ms=7.0, goal_ms=100.0, least_share=0.75),
+    LoadModel("quiet, 20 shards, goal of 100 ms", work_ms=7.0, goal_ms=100.0, min_share=0.75),
 )
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Print a table; the figures are means over the seeds."""
+    """Print the table; its figures are means over the seeds."""
     parser = ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=int, default=4)
     parser.add_argument("--grid", action="store_true", help="many sizes; exit 1 if any is worse")
@@ -45,10 +46,12 @@
         ours = [ForwarderRun(load, seed).run() for seed in seeds]
         plain = sum(run_plain(load, seed).mean for seed in seeds) / len(seeds)
         bounds = [run_oracle(load, seed) for seed in seeds]
-        earned = sum(found.mean for found in ours) / len(ours)
-        bound = sum(found.mean for found in bounds) / len(bounds)
-        late = sum(found.late for found in ours) / sum(found.asked for found in ours)
-        extra = sum(found.extra for found in ours) / sum(found.asked for found in ours)
+        earned = sum(credit.mean for credit in ours) / len(ours)
+        bound = sum(credit.mean for credit in bounds) / len(bounds)
+        late = sum(credit.late for credit in ours) / sum(credit.queries for credit in ours)
+        extra = sum(credit.extra_attempts for credit in ours) / sum(
+            credit.queries for credit in ours
+        )
         print(
             f"| {load.name} | {plain:.3f} | {earned:.3f} | {late:.3f} | {extra:.2f} | {bound:.3f} "
             f"| {bound - earned:.3f} |",
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/ablation.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/ablation.py
@@ -1,4 +1,4 @@
-"""Switch off one mechanism at a time, and tell what it is worth."""
+"""Measure what each mechanism is worth by switching off one at a time."""
 
 from collections.abc import Callable, Iterable, Sequence
 from contextlib import AbstractContextManager, nullcontext
@@ -35,7 +35,9 @@
         upstream_chooser, "CROSS_REGION_PENALTY_MS", 0.0
     ),
     "no jitter": lambda: patch.object(upstream_chooser, "JITTER_SHARE", 0.0),
-    "no wait for a place": lambda: patch.object(WaitingSubrequests, "add", lambda self, leg: False),
+    "no wait for a place": lambda: patch.object(
+        WaitingSubrequests, "add", lambda self, subrequest: False
+    ),
     "no end at the goal": lambda: patch.object(OpenRequest, "has_enough", property(_has_all)),
 }
 
@@ -45,7 +47,7 @@
 
 
 def run_ablation(loads: Sequence[LoadModel], seeds: Iterable[int]) -> None:
-    """Print what callers earn with each mechanism off, in the mean over the seeds."""
+    """Print the mean credit over the seeds with each mechanism off."""
     seeds = list(seeds)
     print("| variant |" + "".join(f" {load.name} |" for load in loads))
     print("|---|" + "---|" * len(loads))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/credit.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/credit.py
@@ -1,5 +1,3 @@
-"""Add up what callers earn."""
-
 from dataclasses import dataclass
 
 LATE_SHARE = 0.1
@@ -7,27 +5,28 @@
 
 @dataclass(slots=True)
 class Credit:
-    """Sum up queries: a whole answer in time earns 1, a partial one the square of its share.
+    """The sum of what queries earn.
 
-    Late it earns a tenth of that; with fewer than the least shards it is no answer.
+    A whole answer in time earns 1, and a partial one the square of its share of the shards. A late
+    answer earns a tenth of that. One with too few shards counts as failed and earns nothing.
     """
 
-    asked: int = 0
+    queries: int = 0
     earned: float = 0.0
     late: int = 0
-    extra: int = 0
+    extra_attempts: int = 0
 
     @property
     def mean(self) -> float:
-        """Return what one query earns."""
-        return self.earned / self.asked if self.asked else 0.0
+        """Return the mean credit of a query."""
+        return self.earned / self.queries if self.queries else 0.0
 
     def add(self, share: float, is_late: bool) -> None:
         """Add a query that was answered with a share of its shards."""
-        self.asked += 1
+        self.queries += 1
         self.late += is_late
         self.earned += share**2 * (LATE_SHARE if is_late else 1.0)
 
     def add_failed(self) -> None:
-        """Add a query without a success."""
-        self.asked += 1
+        """Add a query that failed."""
+        self.queries += 1
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/oracle.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/oracle.py
@@ -1,4 +1,4 @@
-"""Answer queries without the program's decisions: with perfect knowledge, or without any."""
+"""Reference decisions for the same queries: with perfect knowledge, and without any knowledge."""
 
 from collections.abc import Callable
 from math import ceil
@@ -14,36 +14,39 @@
 
 
 def run_oracle(load: LoadModel, seed: int) -> Credit:
-    """Send each part once, to the upstream that will be done first.
+    """Send each subrequest once, to the upstream whose answer will arrive first.
 
-    It knows all pauses, spells and queues, but takes the queries in their order, so it is the
-    most that can be earned without holding a query back for a later one.
+    It knows all pauses, slow and unresponsive intervals and queues, but processes the queries in
+    their order. So its credit is the maximum without holding back a query for a later one.
     """
-    return _run(load, seed, lambda upstreams, back_ms: min(upstreams, key=back_ms))
+    return _run(load, seed, lambda upstreams, returned_ms: min(upstreams, key=returned_ms))
 
 
 def run_plain(load: LoadModel, seed: int) -> Credit:
-    """Send each part once, to an upstream drawn by lot, and answer at the goal with what is in."""
-    lots = Random(f"{seed}/{load.name}/lots")
-    return _run(load, seed, lambda upstreams, _: lots.choice(upstreams))
+    """Send each subrequest once, to a random upstream.
+
+    At the latency goal it answers with the shards that have arrived, if these are enough.
+    """
+    replica_random = Random(f"{seed}/{load.name}/lots")
+    return _run(load, seed, lambda upstreams, _: replica_random.choice(upstreams))
 
 
 def _run(load: LoadModel, seed: int, choose: Choose) -> Credit:
     credit = Credit()
-    works = Random(f"{seed}/{load.name}/work")
+    work_random = Random(f"{seed}/{load.name}/work")
     by_service: dict[str, list[UpstreamModel]] = {}
     for upstream in load.build_upstreams(seed):
         by_service.setdefault(upstream.service, []).append(upstream)
-    least = ceil(load.least_share * load.shards - EPSILON)
+    min_answers = ceil(load.min_share * load.shards - EPSILON)
     for now_ms in load.build_arrivals(seed):
         done_ms = sorted(
-            _send(load, by_service[name], now_ms, works, choose) for name in load.names
+            _send(load, by_service[name], now_ms, work_random, choose) for name in load.names
         )
         in_time = sum(at_ms <= now_ms + load.goal_ms for at_ms in done_ms)
-        if in_time >= least:
+        if in_time >= min_answers:
             credit.add(in_time / load.shards, is_late=False)
-        elif done_ms[least - 1] < float("inf"):
-            credit.add(least / load.shards, is_late=True)
+        elif done_ms[min_answers - 1] < float("inf"):
+            credit.add(min_answers / load.shards, is_late=True)
         else:
             credit.add_failed()
     return credit
@@ -53,16 +56,16 @@
     load: LoadModel,
     upstreams: list[UpstreamModel],
     now_ms: float,
-    works: Random,
+    work_random: Random,
     choose: Choose,
 ) -> float:
-    """Return when a part is back."""
-    work_ms = load.draw_work_ms(works)
+    """Send one subrequest; return when its answer arrives."""
+    work_ms = load.draw_work_ms(work_random)
 
-    def back_ms(upstream: UpstreamModel) -> float:
-        way_ms = load.round_trip_ms(upstream.data_centre)
-        return upstream.would_finish_ms(now_ms + way_ms / 2.0, work_ms) + way_ms / 2.0
+    def returned_ms(upstream: UpstreamModel) -> float:
+        round_trip_ms = load.round_trip_ms(upstream.data_centre)
+        return upstream.would_finish_ms(now_ms + round_trip_ms / 2.0, work_ms) + round_trip_ms / 2.0
 
-    found = choose(upstreams, back_ms)
-    way_ms = load.round_trip_ms(found.data_centre)
-    return found.finish_ms(now_ms + way_ms / 2.0, work_ms) + way_ms / 2.0
+    chosen = choose(upstreams, returned_ms)
+    round_trip_ms = load.round_trip_ms(chosen.data_centre)
+    return chosen.finish_ms(now_ms + round_trip_ms / 2.0, work_ms) + round_trip_ms / 2.0
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/upstream_model.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/upstream_model.py
@@ -1,5 +1,3 @@
-"""Model one upstream: its slots, its pauses, and the spells in which it is slow or dark."""
-
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
 
@@ -7,68 +5,72 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spell:
-    """Be a span of time, in milliseconds."""
+class TimeInterval:
+    """A half-open time interval, in milliseconds."""
 
     from_ms: float
     to_ms: float
 
-    def holds(self, now_ms: float) -> bool:
-        """Return whether a moment lies in it."""
+    def contains(self, now_ms: float) -> bool:
+        """Return whether a time lies in the interval."""
         return self.from_ms <= now_ms < self.to_ms
 
 
 @dataclass(slots=True)
 class UpstreamModel:
-    """Work off requests in the order of their arrival, one in each slot.
+    """A modelled upstream that serves requests in the order of arrival, one per slot.
 
-    It stands still in its pauses, takes ``slow_factor`` times as long in its slow spells, and
-    what reaches it in a dark spell is never answered. Requests of other instances, as pairs of
-    arrival and work, come on their own.
+    It makes no progress during its pauses. A request that starts in one of the ``slow`` intervals
+    takes ``slow_factor`` times as long, and one that arrives in one of the ``unresponsive``
+    intervals is never answered. ``background`` holds the requests of other instances, as pairs
+    of arrival time and service time.
     """
 
     upstream_id: str
     service: str
     data_centre: str
     slots: int
-    pauses: list[Spell] = field(default_factory=list)
-    slow: list[Spell] = field(default_factory=list)
-    dark: list[Spell] = field(default_factory=list)
+    pauses: list[TimeInterval] = field(default_factory=list)
+    slow: list[TimeInterval] = field(default_factory=list)
+    unresponsive: list[TimeInterval] = field(default_factory=list)
     slow_factor: float = 8.0
-    others: list[tuple[float, float]] = field(default_factory=list)
+    background: list[tuple[float, float]] = field(default_factory=list)
     _free_ms: list[float] = field(default_factory=list)
-    _next_other: int = 0
+    _next_background: int = 0
 
     def finish_ms(self, arrived_ms: float, work_ms: float) -> float:
-        """Take a request in; return when it is done. Requests must come in order of arrival."""
-        while self._next_other < len(self.others) and (
-            self.others[self._next_other][0] <= arrived_ms
+        """Accept a request and return when it is done.
+
+        Calls have to be in the order of arrival.
+        """
+        while self._next_background < len(self.background) and (
+            self.background[self._next_background][0] <= arrived_ms
         ):
-            self._run(*self.others[self._next_other])
-            self._next_other += 1
+            self._run(*self.background[self._next_background])
+            self._next_background += 1
         return self._run(arrived_ms, work_ms)
 
     def would_finish_ms(self, arrived_ms: float, work_ms: float) -> float:
-        """Return when a request would be done, without taking it in."""
-        kept = list(self._free_ms), self._next_other
-        found_ms = self.finish_ms(arrived_ms, work_ms)
-        self._free_ms, self._next_other = kept
-        return found_ms
+        """Return when a request would be done, without accepting it."""
+        saved = list(self._free_ms), self._next_background
+        finished_ms = self.finish_ms(arrived_ms, work_ms)
+        self._free_ms, self._next_background = saved
+        return finished_ms
 
     def _run(self, arrived_ms: float, work_ms: float) -> float:
-        if any(spell.holds(arrived_ms) for spell in self.dark):
+        if any(interval.contains(arrived_ms) for interval in self.unresponsive):
             return NEVER_MS
         free_ms = heappop(self._free_ms) if len(self._free_ms) >= self.slots else 0.0
         now_ms = max(arrived_ms, free_ms)
-        is_slow = any(spell.holds(now_ms) for spell in self.slow)
-        left_ms = work_ms * (self.slow_factor if is_slow else 1.0)
+        is_slow = any(interval.contains(now_ms) for interval in self.slow)
+        remaining_ms = work_ms * (self.slow_factor if is_slow else 1.0)
         for pause in self.pauses:
             if pause.to_ms <= now_ms:
                 continue
-            if now_ms + left_ms <= pause.from_ms:
+            if now_ms + remaining_ms <= pause.from_ms:
                 break
-            left_ms -= max(0.0, pause.from_ms - now_ms)
+            remaining_ms -= max(0.0, pause.from_ms - now_ms)
             now_ms = pause.to_ms
-        now_ms += left_ms
+        now_ms += remaining_ms
         heappush(self._free_ms, now_ms)
         return now_ms
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/load_contracts.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/load_contracts.py
@@ -1,4 +1,4 @@
-"""Build the contracts, sizes and capacity that the load patterns share."""
+"""The contract, the cluster size and its capacity that load patterns share."""
 
 from math import exp
 
@@ -9,16 +9,16 @@
 MEDIAN_MS = 4.0
 SIGMA = 0.4
 ROUND_TRIP_MS = 0.55
-"""Mean time on the link to and back, for which a slot's share of an instance stands empty."""
+"""Mean round trip on the link; a slot that an instance holds is idle for that long per request."""
 
 CAPACITY_PER_S = (
     1_000.0 * SIZE.replicas * SIZE.slots / (MEDIAN_MS * exp(SIGMA * SIGMA / 2.0) + ROUND_TRIP_MS)
 )
-"""Requests to all shards that the slots can serve; worked out, the rows are measured."""
+"""Computed rate of requests to all shards that the slots can serve."""
 
 
 def build_load_contract(customer: str = "acme", **changes) -> ContractDocument:
-    """Return a contract of four classes whose limits bind nothing."""
+    """Return a contract of four classes with limits too high to take effect."""
     values = {
         "customer": customer,
         "credentials_sha256": [customer.encode().hex().zfill(64)],
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/load_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/load_run.py
@@ -1,5 +1,3 @@
-"""Send queries to a small cluster at a steady rate and sum up what callers receive."""
-
 from dataclasses import dataclass, field
 
 from geraniumlead.actions import AnswerCaller, AnswerTicketRequest, CallUpstream
@@ -12,12 +10,14 @@
 SETTLED_MS = 2_000.0
 
 QUERIES = 20
-"""Different queries in turn; few, so that every instance has proven them before the faults."""
+"""Number of distinct queries, sent in turn.
+
+It is small so that every instance has proven all of them before the faults begin."""
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """Remember one outcome, when its request came and how long it took."""
+    """The outcome of a request, with its arrival time and latency."""
 
     arrived_ms: float
     latency_ms: float
@@ -27,7 +27,10 @@
 
 @dataclass(slots=True)
 class LoadRun:
-    """Draw arrivals from the run's seed and collect the answers of one class."""
+    """Queries of one class at a steady mean rate to a small cluster, and their answers.
+
+    Arrival times come from the random generator of the cluster's run.
+    """
 
     cluster: SmallCluster
     rate_per_s: float
@@ -41,15 +44,15 @@
     next_ms: float = SETTLED_MS
 
     def __post_init__(self) -> None:
-        """Listen to the run, and let it start up."""
+        """Register the callbacks and let the cluster start up."""
         run = self.cluster.run
-        run.on_answer = self._take_answer
+        run.on_answer = self._handle_answer
         run.on_action = self._count_call
         self.entries = self.entries or list(run.instances)
         run.queue.run_until(SETTLED_MS)
 
     def send_until(self, end_ms: float) -> None:
-        """Send queries at the rate, with exponential gaps, to the entries in turn."""
+        """Send queries with exponentially distributed gaps to the entry instances in turn."""
         run = self.cluster.run
         while self.next_ms < end_ms:
             run.queue.run_until(self.next_ms)
@@ -71,7 +74,7 @@
         run.queue.run_until(end_ms)
 
     def finish(self) -> None:
-        """Wait for the last deadlines."""
+        """Run until the last deadlines have passed."""
         self.cluster.run.queue.run_until(self.cluster.run.now_ms + 2.0 * self.deadline_ms)
 
     def upstreams(self) -> list[FakeUpstream]:
@@ -86,15 +89,15 @@
         until_ms: float = 1e12,
         **more,
     ) -> ResultRow:
-        """Return what callers received whose requests came in a span of time."""
-        chosen = [one for one in self.answers if since_ms <= one.arrived_ms < until_ms]
-        answered = [one for one in chosen if isinstance(one.outcome, Answered)]
-        latencies_ms = sorted(one.latency_ms for one in answered)
+        """Return the row of all requests that arrived in a time interval."""
+        chosen = [answer for answer in self.answers if since_ms <= answer.arrived_ms < until_ms]
+        answered = [answer for answer in chosen if isinstance(answer.outcome, Answered)]
+        latencies_ms = sorted(answer.latency_ms for answer in answered)
         span_s = (min(until_ms, self.cluster.run.now_ms) - since_ms) / 1_000.0
-        extra = sum(one.extra_subqueries for one in chosen)
+        extra = sum(answer.extra_subqueries for answer in chosen)
         first = len(chosen) * self.cluster.size.shards
-        covered = sum(one.outcome.coverage.share for one in answered)
-        not_run = sum(1 for one in chosen if isinstance(one.outcome, NotRun))
+        covered = sum(answer.outcome.coverage.share for answer in answered)
+        not_run = sum(1 for answer in chosen if isinstance(answer.outcome, NotRun))
         return ResultRow(
             pattern=pattern,
             variant=variant,
@@ -110,7 +113,7 @@
             more={"failed": len(chosen) - len(answered) - not_run, **more},
         )
 
-    def _take_answer(
+    def _handle_answer(
         self, name: str, action: AnswerCaller | AnswerTicketRequest, now_ms: float
     ) -> None:
         if isinstance(action, AnswerCaller):
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/pattern.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/pattern.py
@@ -1,5 +1,3 @@
-"""Find the load patterns."""
-
 from collections.abc import Callable
 from dataclasses import dataclass
 from importlib import import_module
@@ -16,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Pattern:
-    """Name a load pattern and how to run it."""
+    """A load pattern: its name, its seeds and the function that runs it."""
 
     name: str
     seeds: tuple[int, ...]
@@ -24,7 +22,7 @@
 
     @classmethod
     def find_all(cls) -> "list[Pattern]":
-        """Return the patterns of the package, by name."""
+        """Return the patterns of the package ``patterns``, in the order of their modules' names."""
         names = sorted(module.name for module in iter_modules(patterns.__path__))
         modules = [import_module(f"{patterns.__name__}.{name}") for name in names]
         return [
@@ -33,7 +31,7 @@
         ]
 
     def measure(self) -> list[ResultRow]:
-        """Run the pattern once for each seed."""
+        """Run the pattern once per seed and return all rows."""
         return [replace(_read_row(row), seed=seed) for seed in self.seeds for row in self.run(seed)]
 
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/__init__.py
@@ -1,5 +1,5 @@
-"""Hold one load pattern in each module.
+"""Load patterns, one per module.
 
-A module exposes ``NAME`` and ``run(seed)``, which returns the rows that it measured: ResultRow
-or a dict of its fields. ``SEEDS`` may name the seeds; one is the default.
+A module defines ``NAME`` and ``run(seed)``, which returns the rows: each a ResultRow or a dict of
+its fields. It may define ``SEEDS``; without it, the pattern runs with seed 1 only.
 """
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/burst.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/burst.py
@@ -1,9 +1,9 @@
-"""A burst of a thousand requests within a tenth of a second, on a steady load."""
+"""Bursts of a thousand requests within a tenth of a second, on a steady load."""
 
 from geraniumlead_standins.bench.admission_variants import (
     Prepare,
     use_aimd_limit,
-    use_module,
+    use_default,
     use_plain_admission,
 )
 from geraniumlead_standins.bench.caller_load import CallerLoad
@@ -23,11 +23,11 @@
 
 
 def run(seed: int) -> list[ResultRow]:
-    """Return the rows without a burst, and with it for every variant."""
+    """Return the rows without bursts, and with bursts for every variant."""
     return [
-        *_measure("no burst", use_module, (), seed),
+        *_measure("no burst", use_default, (), seed),
         *_measure("plain", use_plain_admission, BURSTS_AT_MS, seed),
-        *_measure("module", use_module, BURSTS_AT_MS, seed),
+        *_measure("module", use_default, BURSTS_AT_MS, seed),
         *_measure("rival aimd", use_aimd_limit, BURSTS_AT_MS, seed),
     ]
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/cold_upstreams.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/cold_upstreams.py
@@ -1,4 +1,4 @@
-"""Cold upstreams: every upstream of the only data centre restarts cold at once."""
+"""Every upstream of the only data centre restarts cold at once."""
 
 from contextlib import AbstractContextManager, nullcontext
 
@@ -26,11 +26,11 @@
     "with, one instance cut off": nullcontext,
     "rival: one call for each owner": with_cold_slot_for_every_owner,
 }
-CUT_OFF = "with, one instance cut off"
+ISOLATED_VARIANT = "with, one instance cut off"
 
 
 def run(seed: int) -> list[ResultRow]:
-    """Measure the seconds after the restart."""
+    """Return one row per variant for the four seconds after the restart."""
     return [_measure(seed, variant, policy()) for variant, policy in VARIANTS.items()]
 
 
@@ -40,22 +40,27 @@
         load.send_until(RESTART_MS)
         for upstream in load.upstreams():
             upstream.restart(COLD_ANSWERS)
-        if variant == CUT_OFF:
-            _cut_off_one(load)
+        if variant == ISOLATED_VARIANT:
+            _isolate_one_instance(load)
         warm_ms = None
         while load.cluster.run.now_ms < END_MS:
             load.send_until(min(END_MS, load.cluster.run.now_ms + STEP_MS))
-            if warm_ms is None and not any(one.cold_answers_left for one in load.upstreams()):
+            if warm_ms is None and not any(
+                replica.cold_answers_left for replica in load.upstreams()
+            ):
                 warm_ms = load.cluster.run.now_ms - RESTART_MS
         load.finish()
-    most = max(upstream.most_while_cold for upstream in load.upstreams())
-    more = {"most_calls_while_cold": most, "warm_after_ms": -1.0 if warm_ms is None else warm_ms}
-    # What one call at a time could reach at best: each answer after the other.
+    most_calls = max(upstream.most_while_cold for upstream in load.upstreams())
+    more = {
+        "most_calls_while_cold": most_calls,
+        "warm_after_ms": -1.0 if warm_ms is None else warm_ms,
+    }
+    # Minimum for one call at a time: the answers come one after the other.
     more["best_warm_after_ms"] = COLD_ANSWERS * SIZE.service_median_ms * 1.083
     return load.summarise(NAME, variant, RESTART_MS, END_MS, **more)
 
 
-def _cut_off_one(load: LoadRun) -> None:
+def _isolate_one_instance(load: LoadRun) -> None:
     names = set(load.cluster.run.instances)
-    lost = {min(names)}
-    load.cluster.run.link.cut_between(lost, names - lost | {"platform"})
+    isolated = {min(names)}
+    load.cluster.run.link.cut_between(isolated, names - isolated | {"platform"})
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/crash_query.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/crash_query.py
@@ -1,9 +1,9 @@
-"""A query that crashes each upstream that runs it is sent a hundred times."""
+"""A query that crashes every upstream that runs it is sent a hundred times."""
 
 from dataclasses import replace
 from random import Random
 
-from geraniumlead_standins.bench.admission_variants import Prepare, use_module
+from geraniumlead_standins.bench.admission_variants import Prepare, use_default
 from geraniumlead_standins.bench.caller_load import CallerLoad
 from geraniumlead_standins.bench.caller_stream import CallerStream
 from geraniumlead_standins.bench.crash_variants import use_no_canary, use_no_guard
@@ -25,12 +25,12 @@
 
 
 def run(seed: int) -> list[ResultRow]:
-    """Return the rows without the query, and with it for every variant."""
+    """Return the rows without the crashing query, and with it for every variant."""
     return [
         *_measure("no crash, plain", use_no_guard, 0.0, seed),
-        *_measure("no crash, module", use_module, 0.0, seed),
+        *_measure("no crash, module", use_default, 0.0, seed),
         *_measure("plain", use_no_guard, CRASHING_PER_S, seed),
-        *_measure("module", use_module, CRASHING_PER_S, seed),
+        *_measure("module", use_default, CRASHING_PER_S, seed),
         *_measure("rival no canary", use_no_canary, CRASHING_PER_S, seed),
     ]
 
@@ -41,14 +41,14 @@
 
 def _measure(variant: str, prepare: Prepare, crashing_per_s: float, seed: int) -> list[ResultRow]:
     load = CallerLoad(WIDE, seed, [build_load_contract()], prepare)
-    load.add(CallerStream("lookup", OTHERS_PER_S, end_ms=END_MS, query_of=_draw_query))
+    load.add(CallerStream("lookup", OTHERS_PER_S, end_ms=END_MS, draw_query=_draw_query))
     load.add(
         CallerStream(
             "lookup",
             crashing_per_s,
             start_ms=CRASHING_FROM_MS,
             end_ms=CRASHING_END_MS,
-            query_of=lambda random: b'{"crash":1}',
+            draw_query=lambda random: b'{"crash":1}',
             label="crashing",
         )
     )
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/data_centre_out.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/data_centre_out.py
@@ -1,4 +1,4 @@
-"""Data centre out and back: operators take one of two data centres out for some seconds."""
+"""Operators take one of two data centres out of service for four seconds."""
 
 from contextlib import ExitStack
 
@@ -23,7 +23,7 @@
 END_MS = BACK_MS + 4_000.0
 NOTICE_MS = 1_500.0
 COLD_ANSWERS = 20
-ONE_WAY_MS = 0.5
+ONE_WAY_DELAY_MS = 0.5
 
 VARIANTS = {
     "without cold start guard": without_cold_start_guard,
@@ -33,7 +33,7 @@
 
 
 def run(seed: int) -> list[ResultRow]:
-    """Measure before, during and after; the upstreams come back cold."""
+    """Return rows for before, during and after the outage; the upstreams come back cold."""
     rows = []
     for variant, policy in VARIANTS.items():
         with policy():
@@ -51,19 +51,21 @@
     load = LoadRun(SmallCluster.from_size(SIZE, seed), RATE_PER_S)
     run = load.cluster.run
     _set_delays(load)
-    everyone, rest = list(run.instances), [n for n in run.instances if n.startswith("zuid")]
-    load.entries = everyone
+    all_instances, remaining = list(run.instances), [
+        n for n in run.instances if n.startswith("zuid")
+    ]
+    load.entries = all_instances
     load.send_until(OUT_MS)
     _publish_state(load, "out")
-    # The balancer goes on sending to the instances of the data centre until it has noticed.
+    # The load balancer sends to instances of the data centre until it notices the change.
     load.send_until(OUT_MS + NOTICE_MS)
-    load.entries = rest
+    load.entries = remaining
     load.send_until(BACK_MS)
     for upstream in load.upstreams():
         if "-noord-" in upstream.upstream_id:
             upstream.restart(COLD_ANSWERS)
     _publish_state(load, "in")
-    load.entries = everyone
+    load.entries = all_instances
     load.send_until(END_MS)
     load.finish()
     return load
@@ -71,12 +73,12 @@
 
 def _set_delays(load: LoadRun) -> None:
     run = load.cluster.run
-    ends = [*run.instances, *(upstream.upstream_id for upstream in load.upstreams())]
-    for one in run.instances:
-        for other in ends:
-            if ("noord" in one) != ("noord" in other):
-                run.link.set_delay(one, other, ONE_WAY_MS)
-                run.link.set_delay(other, one, ONE_WAY_MS)
+    endpoints = [*run.instances, *(upstream.upstream_id for upstream in load.upstreams())]
+    for instance in run.instances:
+        for peer in endpoints:
+            if ("noord" in instance) != ("noord" in peer):
+                run.link.set_delay(instance, peer, ONE_WAY_DELAY_MS)
+                run.link.set_delay(peer, instance, ONE_WAY_DELAY_MS)
 
 
 def _publish_state(load: LoadRun, state: str) -> None:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/hot_caller.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/hot_caller.py
@@ -2,7 +2,7 @@
 
 from geraniumlead_standins.bench.admission_variants import (
     Prepare,
-    use_module,
+    use_default,
     use_plain_admission,
     use_whole_contract_everywhere,
 )
@@ -22,11 +22,11 @@
 
 
 def run(seed: int) -> list[ResultRow]:
-    """Return the rows with the hot caller within its contract, and beyond it."""
+    """Return the rows with the hot caller within its contract, and beyond it for every variant."""
     return [
-        *_measure("within contract", use_module, 1.0, seed),
+        *_measure("within contract", use_default, 1.0, seed),
         *_measure("plain", use_plain_admission, TIMES_CONTRACT, seed),
-        *_measure("module", use_module, TIMES_CONTRACT, seed),
+        *_measure("module", use_default, TIMES_CONTRACT, seed),
         *_measure("rival no shares", use_whole_contract_everywhere, TIMES_CONTRACT, seed),
     ]
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/hot_key.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/hot_key.py
@@ -1,9 +1,9 @@
-"""One key is asked for at three times what its shard can serve."""
+"""One key is requested at three times the rate that its shard can serve."""
 
 from geraniumlead_standins.bench.admission_variants import (
     Prepare,
-    use_module,
-    use_no_key_bound,
+    use_default,
+    use_no_hot_key_limit,
     use_plain_admission,
 )
 from geraniumlead_standins.bench.caller_load import CallerLoad
@@ -23,10 +23,10 @@
 def run(seed: int) -> list[ResultRow]:
     """Return the rows without the hot key, and with it for every variant."""
     return [
-        *_measure("no hot key", use_module, 0.0, seed),
+        *_measure("no hot key", use_default, 0.0, seed),
         *_measure("plain", use_plain_admission, TIMES_SHARD, seed),
-        *_measure("module", use_module, TIMES_SHARD, seed),
-        *_measure("rival no bound", use_no_key_bound, TIMES_SHARD, seed),
+        *_measure("module", use_default, TIMES_SHARD, seed),
+        *_measure("rival no bound", use_no_hot_key_limit, TIMES_SHARD, seed),
     ]
 
 
@@ -39,7 +39,7 @@
             times * CAPACITY_PER_S,
             end_ms=END_MS,
             deadline_ms=500.0,
-            key_of=lambda random: "member-1",
+            draw_key=lambda random: "member-1",
             label="hot key",
         )
     )
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/long_among_short.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/long_among_short.py
@@ -1,4 +1,4 @@
-"""Long jobs, fifty times as long as the others, at the same upstreams."""
+"""Jobs fifty times as long as the other requests, at the same upstreams."""
 
 from dataclasses import replace
 
@@ -6,7 +6,7 @@
 
 from geraniumlead_standins.bench.admission_variants import (
     Prepare,
-    use_module,
+    use_default,
     use_plain_admission,
 )
 from geraniumlead_standins.bench.caller_load import CallerLoad
@@ -21,8 +21,8 @@
 NAME = "long_among_short"
 LONG_PER_S = 24.0
 WIDE = replace(SIZE, slots=6)
-"""Six slots, as the portal and the reporting service have: of two slots each of two owners
-has one, and a long job on it stops all short ones of that owner."""
+"""Six slots, as the portal and the reporting service have. With two slots, each of the two owners
+would have one, and a long job on it would block all short requests of that owner."""
 
 END_MS = 22_000.0
 
@@ -30,10 +30,10 @@
 def run(seed: int) -> list[ResultRow]:
     """Return the rows without long jobs, and with them for every variant."""
     return [
-        *_measure("no long jobs", use_module, 0.0, seed),
+        *_measure("no long jobs", use_default, 0.0, seed),
         *_measure("plain", use_plain_admission, LONG_PER_S, seed),
-        *_measure("module", use_module, LONG_PER_S, seed),
-        *_measure("rival not kept apart", use_module, LONG_PER_S, seed, kept_apart=False),
+        *_measure("module", use_default, LONG_PER_S, seed),
+        *_measure("rival not kept apart", use_default, LONG_PER_S, seed, kept_apart=False),
     ]
 
 
@@ -52,7 +52,7 @@
             long_per_s,
             end_ms=END_MS,
             deadline_ms=10_000.0,
-            query_of=lambda random: b'{"kind":"long job"}',
+            draw_query=lambda random: b'{"kind":"long job"}',
         )
     )
     load.finish(settle_ms=11_000.0)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/lost_replicas.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/lost_replicas.py
@@ -1,4 +1,4 @@
-"""Half of all replicas lost: they neither answer nor refuse."""
+"""Half of all replicas are lost; they neither answer nor refuse."""
 
 from contextlib import ExitStack
 
@@ -17,7 +17,7 @@
 SIZE = ClusterSize(instances=3, shards=20, replicas=2)
 RATE_PER_S = 100.0
 LOST_MS = SETTLED_MS + 2_000.0
-STEP_MS = 1_000.0
+TRANSITION_MS = 1_000.0
 BACK_MS = LOST_MS + 5_000.0
 END_MS = BACK_MS + 3_000.0
 
@@ -32,14 +32,14 @@
 
 
 def run(seed: int) -> list[ResultRow]:
-    """Measure the first second of the loss, the time after it, and the return."""
+    """Return rows for before the loss, its first second, the time after that, and the return."""
     rows = []
     for variant, policies in VARIANTS.items():
         with ExitStack() as stack:
             for policy in policies:
                 stack.enter_context(policy())
             load = _run_load(seed)
-        steady_ms = LOST_MS + STEP_MS
+        steady_ms = LOST_MS + TRANSITION_MS
         before = load.summarise(NAME, f"{variant}: before", SETTLED_MS, LOST_MS)
         first = load.summarise(NAME, f"{variant}: first second", LOST_MS, steady_ms)
         lost = load.summarise(NAME, f"{variant}: lost", steady_ms, BACK_MS)
@@ -53,7 +53,7 @@
 def _run_load(seed: int) -> LoadRun:
     load = LoadRun(SmallCluster.from_size(SIZE, seed), RATE_PER_S, least_coverage=0.0)
     load.send_until(LOST_MS)
-    # The second half holds the second replica of every shard.
+    # The second half of the list holds the second replica of every shard.
     lost = load.upstreams()[SIZE.shards :]
     for upstream in lost:
         upstream.is_silent = True
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/overload.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/overload.py
@@ -1,9 +1,9 @@
-"""Overload of one and a half, three and ten times what the upstreams can serve."""
+"""One and a half, three and ten times the load that the upstreams can serve."""
 
 from geraniumlead_standins.bench.admission_variants import (
     Prepare,
     use_aimd_limit,
-    use_module,
+    use_default,
     use_plain_admission,
 )
 from geraniumlead_standins.bench.caller_load import CallerLoad
@@ -22,11 +22,11 @@
 
 
 def run(seed: int) -> list[ResultRow]:
-    """Return the rows of every factor and variant, and of the first class alone."""
-    rows = _measure("unloaded", use_module, FIRST_CLASS_SHARE, seed)
+    """Return the rows of the first class alone, and of every factor and variant."""
+    rows = _measure("unloaded", use_default, FIRST_CLASS_SHARE, seed)
     for factor in FACTORS:
         rows += _measure(f"plain {factor:g}x", use_plain_admission, factor, seed)
-        rows += _measure(f"module {factor:g}x", use_module, factor, seed)
+        rows += _measure(f"module {factor:g}x", use_default, factor, seed)
         rows += _measure(f"rival aimd {factor:g}x", use_aimd_limit, factor, seed)
     return rows
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/retry_storm.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/retry_storm.py
@@ -1,9 +1,9 @@
-"""Refused callers come back, at once or at the time that they were told."""
+"""Refused callers retry, at once or after the time that the refusal names."""
 
 from geraniumlead.admission import retry_after
 from geraniumlead_standins.bench.admission_variants import (
     Prepare,
-    use_module,
+    use_default,
     use_plain_admission,
 )
 from geraniumlead_standins.bench.caller_load import CallerLoad
@@ -22,16 +22,16 @@
 
 
 def run(seed: int) -> list[ResultRow]:
-    """Return the rows of a surge of two seconds, for callers of both kinds."""
+    """Return the rows of a surge of two seconds, for callers of both kinds and every variant."""
     rows = []
-    for after in (AfterRefusal.RETURN_AT_ONCE, AfterRefusal.HONOUR_TIME):
+    for after in (AfterRefusal.RETRY_AT_ONCE, AfterRefusal.HONOUR_RETRY_AFTER):
         rows += _measure(f"plain, {after}", use_plain_admission, after, seed)
-        rows += _measure(f"module, {after}", use_module, after, seed)
+        rows += _measure(f"module, {after}", use_default, after, seed)
     spread = retry_after.SPREAD
     try:
         retry_after.SPREAD = 0.0
-        after = AfterRefusal.HONOUR_TIME
-        rows += _measure(f"rival not spread, {after}", use_module, after, seed)
+        after = AfterRefusal.HONOUR_RETRY_AFTER
+        rows += _measure(f"rival not spread, {after}", use_default, after, seed)
     finally:
         retry_after.SPREAD = spread
     return rows
@@ -48,7 +48,7 @@
             end_ms=SURGE_END_MS,
             deadline_ms=500.0,
             after_refusal=after,
-            returns_until_ms=END_MS,
+            retry_until_ms=END_MS,
         )
     )
     load.finish()
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/slow_upstream.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/slow_upstream.py
@@ -1,4 +1,4 @@
-"""Slow upstream: one replica in 20 takes ten times as long."""
+"""One replica in 20 takes ten times as long."""
 
 from contextlib import ExitStack
 
@@ -18,11 +18,11 @@
 RATE_PER_S = 200.0
 SLOWDOWN = 10.0
 SLOW_EVERY = 21
-"""Two of forty upstreams, of different shards: upstream n holds shard n modulo 20."""
+"""Makes two of forty upstreams slow, of different shards: upstream n holds shard n modulo 20."""
 SLOW_MS = SETTLED_MS + 3_000.0
-WELL_MS = SLOW_MS + 6_000.0
-END_MS = WELL_MS + 3_000.0
-STEP_MS = 1_000.0
+RECOVERED_MS = SLOW_MS + 6_000.0
+END_MS = RECOVERED_MS + 3_000.0
+TRANSITION_MS = 1_000.0
 
 VARIANTS = {
     "without": (without_hedges, with_random_replicas),
@@ -35,20 +35,20 @@
 
 
 def run(seed: int) -> list[ResultRow]:
-    """Measure before, while and after some replicas are slow."""
+    """Return rows for before, the first second, the rest and after the slowdown."""
     rows = []
     for variant, policies in VARIANTS.items():
         with ExitStack() as stack:
             for policy in policies:
                 stack.enter_context(policy())
             load = _run_load(seed)
-        steady_ms = SLOW_MS + STEP_MS
-        before = load.summarise(NAME, f"{variant}: none slow", SETTLED_MS + STEP_MS, SLOW_MS)
-        slow = load.summarise(NAME, f"{variant}: slow", steady_ms, WELL_MS)
+        steady_ms = SLOW_MS + TRANSITION_MS
+        before = load.summarise(NAME, f"{variant}: none slow", SETTLED_MS + TRANSITION_MS, SLOW_MS)
+        slow = load.summarise(NAME, f"{variant}: slow", steady_ms, RECOVERED_MS)
         slow.more["p99_ratio"] = (slow.p99_ms or 0.0) / (before.p99_ms or 1.0)
-        step = load.summarise(NAME, f"{variant}: first second", SLOW_MS, steady_ms)
-        after = load.summarise(NAME, f"{variant}: well again", WELL_MS + STEP_MS, END_MS)
-        rows += [before, step, slow, after]
+        transition = load.summarise(NAME, f"{variant}: first second", SLOW_MS, steady_ms)
+        after = load.summarise(NAME, f"{variant}: well again", RECOVERED_MS + TRANSITION_MS, END_MS)
+        rows += [before, transition, slow, after]
     return rows
 
 
@@ -58,7 +58,7 @@
     slow = load.upstreams()[::SLOW_EVERY]
     for upstream in slow:
         upstream.slowdown = SLOWDOWN
-    load.send_until(WELL_MS)
+    load.send_until(RECOVERED_MS)
     for upstream in slow:
         upstream.slowdown = 1.0
     load.send_until(END_MS)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/policies.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/policies.py
@@ -1,4 +1,4 @@
-"""Switch decisions off, or put a rival in their place, for one run."""
+"""Context managers that switch a decision off, or replace it by an alternative, for one run."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -12,21 +12,21 @@
 
 @contextmanager
 def without_hedges() -> Iterator[None]:
-    """Never take a subquery for late."""
+    """Never treat a subquery as late."""
     with patch.object(StragglerDetector, "delay_ms", lambda self, service, share, now_ms: None):
         yield
 
 
 @contextmanager
 def with_fixed_hedge_delay(delay_ms: float) -> Iterator[None]:
-    """Take a subquery for late after a fixed time."""
+    """Treat a subquery as late after a fixed time."""
     with patch.object(StragglerDetector, "delay_ms", lambda self, service, share, now_ms: delay_ms):
         yield
 
 
 @contextmanager
 def with_random_replicas() -> Iterator[None]:
-    """Choose among the replicas of the data centre by chance alone."""
+    """Choose at random among the replicas of a tier, tier by tier."""
 
     def choose(self, replicas, tried, now_ms, long_running=False, only_good=False) -> Route | None:
         group = self._group_of(replicas)
@@ -45,7 +45,7 @@
 
 @contextmanager
 def without_cold_start_guard() -> Iterator[None]:
-    """Take every upstream for warm; a fall is no reason to quarantine the query."""
+    """Treat every upstream as warm, and never quarantine a query when an upstream falls over."""
     with (
         without_quarantine(),
         patch.object(ColdStartGuard, "takes_load", lambda self, upstream_id, now_ms: True),
@@ -58,7 +58,10 @@
 
 @contextmanager
 def with_cold_slot_for_every_owner() -> Iterator[None]:
-    """Let each owner have one call at a cold upstream, as if the allowance were each one's."""
+    """Let every owner have one call in progress at a cold upstream.
+
+    Without this the owners share the allowance of calls.
+    """
     with (
         without_quarantine(),
         patch.object(ColdStartGuard, "holds_slot", lambda self, entry: True),
@@ -68,6 +71,6 @@
 
 @contextmanager
 def without_quarantine() -> Iterator[None]:
-    """Let a query run whatever its upstreams suffered; else it would hide their falls."""
+    """Never quarantine a query; quarantine would hide how often upstreams fall over."""
     with patch.object(QuarantineTracker, "remaining_ms", lambda self, fingerprint, now_ms: 0.0):
         yield
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/report.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/report.py
@@ -1,4 +1,4 @@
-"""Write the measured rows as JSON and as a table."""
+"""Write result rows as JSON and as Markdown tables."""
 
 from pathlib import Path
 
@@ -32,7 +32,7 @@
 
 
 def update_report(folder: Path, measured: list[ResultRow], order: list[str]) -> None:
-    """Replace the rows of the measured patterns; rows of the others stay."""
+    """Replace the rows of the measured patterns and keep those of the others."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / JSON_NAME
     kept = decode(path.read_bytes(), type=list[ResultRow]) if path.exists() else []
@@ -44,7 +44,7 @@
 
 
 def render_table(rows: list[ResultRow]) -> str:
-    """Return a Markdown page with one table for each pattern."""
+    """Return a Markdown page with one table per pattern."""
     parts = [HEADING]
     for pattern in dict.fromkeys(row.pattern for row in rows):
         parts.append(f"\n## {pattern}\n\n| " + " | ".join(COLUMNS) + " |")
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/result_row.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/result_row.py
@@ -1,15 +1,15 @@
-"""Define one measured row of a load pattern."""
-
 from msgspec import Struct, field
 
 
 class ResultRow(Struct, kw_only=True, forbid_unknown_fields=True):
-    """Say what the callers of one class received under one variant of a pattern.
+    """What the callers of one class received under one variant of a load pattern.
 
-    ``variant`` tells the module from its absence and from the rival policy. Latencies are of
-    answered requests, ``coverage`` is their mean. ``extra_load_share`` is the subqueries beyond
-    the first of each shard over the first ones. ``fallen`` counts upstreams that fell over.
-    ``more`` holds figures that only this pattern has, by their name with its unit.
+    ``variant`` names what was run: the module under test, a baseline without it or an alternative
+    policy (these begin with "rival"). Latencies are those of answered requests, and ``coverage``
+    is the mean of these. ``extra_load_share`` is the number of subqueries beyond the first of each
+    shard, divided by the number of the first ones. ``fallen`` counts how often upstreams fell
+    over; CallerLoad adds crashes to it. ``more`` holds figures that only this pattern has; their
+    names end in the unit.
     """
 
     pattern: str
--- a/packages/geraniumlead-standins/tests/standins_tests/bench/forwarding_bound/test_forwarding_bound.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/bench/forwarding_bound/test_forwarding_bound.py
@@ -1,4 +1,4 @@
-"""Test the decisions on the users' platform against perfect knowledge and plain choices."""
+"""Test the forwarding decisions against perfect knowledge and random choices."""
 
 from contextlib import redirect_stdout
 from io import StringIO
@@ -12,41 +12,43 @@
 from geraniumlead_standins.bench.forwarding_bound.oracle import run_oracle, run_plain
 from geraniumlead_standins.bench.forwarding_bound.upstream_model import (
     NEVER_MS,
-    Spell,
+    TimeInterval,
     UpstreamModel,
 )
 
-MOST_LEFT = 0.03
-"""Part of the credit that may be left to perfect knowledge: an upstream's slowness has to be seen
-before it can be avoided, for some hundred milliseconds of eight seconds."""
+MAX_CREDIT_GAP = 0.03
+"""Maximum difference of credit to perfect knowledge. An upstream's slowness has to be observed
+before the upstream can be avoided, for some hundred milliseconds of eight seconds."""
 
 
 class UpstreamModelTests(TestCase):
     def build(self, **changes) -> UpstreamModel:
         return UpstreamModel("x", "shard-0", "noord-a", slots=1, **changes)
 
-    def test_one_slot_works_off_one_request_after_the_other(self):
+    def test_one_slot_serves_one_request_after_the_other(self):
         upstream = self.build()
         self.assertEqual(20.0, upstream.finish_ms(0.0, 20.0))
         self.assertEqual(40.0, upstream.finish_ms(5.0, 20.0))
 
-    def test_work_stands_still_in_a_pause(self):
-        upstream = self.build(pauses=[Spell(10.0, 260.0)])
+    def test_work_makes_no_progress_in_a_pause(self):
+        upstream = self.build(pauses=[TimeInterval(10.0, 260.0)])
         self.assertEqual(270.0, upstream.finish_ms(0.0, 20.0))
 
-    def test_a_dark_spell_answers_nothing_and_a_slow_one_late(self):
-        upstream = self.build(dark=[Spell(0.0, 10.0)], slow=[Spell(10.0, 50.0)], slow_factor=5.0)
+    def test_an_unresponsive_interval_answers_nothing_and_a_slow_one_late(self):
+        upstream = self.build(
+            unresponsive=[TimeInterval(0.0, 10.0)], slow=[TimeInterval(10.0, 50.0)], slow_factor=5.0
+        )
         self.assertEqual(NEVER_MS, upstream.finish_ms(1.0, 20.0))
         self.assertEqual(110.0, upstream.finish_ms(10.0, 20.0))
 
     def test_looking_ahead_changes_nothing(self):
-        upstream = self.build(others=[(0.0, 10.0)])
+        upstream = self.build(background=[(0.0, 10.0)])
         for _ in range(2):
             self.assertEqual(30.0, upstream.would_finish_ms(1.0, 20.0))
 
 
 class CreditTests(TestCase):
-    def test_parts_count_squared_and_late_answers_a_tenth(self):
+    def test_partial_answers_count_squared_and_late_ones_a_tenth(self):
         credit = Credit()
         credit.add(0.5, is_late=False)
         credit.add(1.0, is_late=True)
@@ -59,24 +61,27 @@
         load = LoadModel("again", seconds=4.0)
         self.assertEqual(ForwarderRun(load, 5).run(), ForwarderRun(load, 5).run())
 
-    def test_little_is_left_to_perfect_knowledge(self):
-        """Upstreams pause all the time, a seventh of them turn slow, or a shard is dark.
+    def test_credit_is_close_to_perfect_knowledge(self):
+        """Upstreams pause regularly, a seventh of them become slow, or one shard does not answer.
 
-        By lot, without second attempts, callers lose up to half of what they could have.
+        With random choices and without second attempts, callers lose up to half of the credit.
         """
         loads = (
             LoadModel("quiet", seconds=12.0),
             LoadModel("slow", seconds=16.0, slow_share=0.15),
-            LoadModel("dark", seconds=16.0, dark_shards=1),
+            LoadModel("dark", seconds=16.0, unresponsive_shards=1),
         )
         for load in loads:
             with self.subTest(load.name):
                 ours, bound = ForwarderRun(load, 2).run().mean, run_oracle(load, 2).mean
-                self.assertGreater(ours, bound - MOST_LEFT)
+                self.assertGreater(ours, bound - MAX_CREDIT_GAP)
                 self.assertGreater(ours, run_plain(load, 2).mean)
 
     def test_small_and_large_indexes_are_no_worse_than_plain_choices(self):
-        """Nothing is fitted to one size: two shards or two hundred, near or far, short or long."""
+        """No decision may be tuned to one size.
+
+        The grid has 2 to 200 shards, near and far data centres, and short and long goals.
+        """
         for load in build_grid()[::11]:
             with self.subTest(load.name):
                 ours = ForwarderRun(load, 1).run().mean
@@ -92,8 +97,8 @@
         self.assertEqual(2 + len(VARIANTS), len(output.getvalue().splitlines()))
         self.assertEqual(before, ForwarderRun(load, 1).run())
 
-    def test_second_sendings_are_worth_something(self):
-        """Upstreams pause, and without a second sending each pause costs a shard."""
+    def test_second_attempts_increase_the_credit(self):
+        """Upstreams pause, and without a second attempt each pause costs a shard."""
         load = LoadModel("pauses", seconds=10.0)
         earned = ForwarderRun(load, 1).run().mean
         with VARIANTS["no second sending of late parts"]():
--- a/packages/geraniumlead-standins/tests/standins_tests/bench/test_who_is_served.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/bench/test_callers_under_overload.py
@@ -1,4 +1,4 @@
-"""Test what callers receive when more comes than can be served."""
+"""Test what callers receive when the load exceeds the capacity."""
 
 from unittest import TestCase
 
@@ -29,11 +29,11 @@
 
 class OverloadTests(TestCase):
     def test_first_class_is_served_and_the_lowest_gets_its_floor(self):
-        """Three times as much comes as can be served, half of the capacity as first class.
+        """The load is three times the capacity, and the first class is half of the capacity.
 
-        The first class alone fits, so none of it may be refused and its tail may grow only
-        by the wait for the end of what runs. What is left goes to the other classes, of
-        which the lowest gets its floor, and nobody hears of a refusal after the deadline.
+        The first class alone fits, so none of it may be refused, and its tail may grow only by
+        the wait until running requests end. The remaining capacity goes to the other classes, of
+        which the lowest gets its floor. No refusal arrives after the deadline.
         """
         end_ms = 16_000.0
         alone = run_streams(lookups(0.5))["lookup"]
@@ -52,10 +52,10 @@
         self.assertEqual(0, sum(result.late for result in found.values()))
 
     def test_burst_is_refused_at_once_or_served(self):
-        """A thousand requests come within a tenth of a second on a steady first-class load.
+        """A thousand requests arrive within a tenth of a second on a steady first-class load.
 
-        Those that cannot be served in their half second are told so, nearly all in the
-        moment in which they come; the steady load goes on.
+        Those that cannot be served within their half second are refused, nearly all of them on
+        arrival. The steady load is served as before.
         """
         found = run_streams(
             lookups(0.4),
@@ -75,7 +75,7 @@
     def test_hot_caller_takes_nothing_from_the_others(self):
         """A customer sends twenty times its contract through all instances.
 
-        It gets its contract's rate, not that rate from each instance, and the others are
+        It gets the rate of its contract in total, not from each instance, and the others are
         served as if it kept to its contract.
         """
         rate_per_s = 0.1 * CAPACITY_PER_S
@@ -99,7 +99,7 @@
                 3.0 * CAPACITY_PER_S,
                 end_ms=END_MS,
                 deadline_ms=500.0,
-                key_of=lambda random: "member-1",
+                draw_key=lambda random: "member-1",
                 label="hot key",
             ),
         )
--- a/packages/geraniumlead-standins/tests/standins_tests/bench/test_crash_query.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/bench/test_crash_query.py
@@ -1,4 +1,4 @@
-"""Test what a query that crashes its upstreams can do."""
+"""Test that a query that crashes its upstreams does limited damage."""
 
 from dataclasses import replace
 from unittest import TestCase
@@ -18,11 +18,11 @@
 
 class CrashQueryTests(TestCase):
     def test_hundred_sends_crash_two_upstreams_at_most(self):
-        """A caller sends a query that crashes each upstream, again and again, everywhere.
+        """A caller sends a query that crashes every upstream repeatedly to all instances.
 
-        Fanned out it would crash a replica of every shard, and its retries the others. It
-        may crash the two that it is tried on; then callers are told that it was not run and
-        when to come back, and all other queries are answered meanwhile.
+        Fanned out, it would crash one replica of every shard, and its retries the others. It may
+        crash only the two upstreams on which it is tried. After that, callers learn that it was
+        not run and when to retry; all other queries are answered in the meantime.
         """
         for seed in (1, 2, 3):
             load = CallerLoad(WIDE, seed, [build_load_contract()])
@@ -31,7 +31,7 @@
                     "lookup",
                     0.3 * CAPACITY_PER_S,
                     end_ms=13_000.0,
-                    query_of=lambda random: b'{"member":%d}' % random.randrange(20),
+                    draw_query=lambda random: b'{"member":%d}' % random.randrange(20),
                 )
             )
             load.add(
@@ -40,7 +40,7 @@
                     50.0,
                     start_ms=10_500.0,
                     end_ms=12_500.0,
-                    query_of=lambda random: b'{"crash":1}',
+                    draw_query=lambda random: b'{"crash":1}',
                     label="crashing",
                 )
             )
@@ -52,7 +52,7 @@
             self.assertGreater(crashing.refused["quarantined"], 0.9 * crashing.sent)
 
     def test_sends_at_the_same_moment_crash_two_upstreams_at_most(self):
-        """The query comes to all instances at once, before any can tell the others."""
+        """The query arrives at all instances at once, before any of them can notify the others."""
         load = CallerLoad(WIDE, 5, [build_load_contract()])
         load.add(CallerStream("lookup", 0.3 * CAPACITY_PER_S, end_ms=9_000.0))
         load.run.queue.run_until(9_500.0)
--- a/packages/geraniumlead-standins/tests/standins_tests/bench/test_fleet_load.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/bench/test_fleet_load.py
@@ -1,5 +1,3 @@
-"""Test fleets of small machines before an index of many shards, in virtual time."""
-
 from dataclasses import replace
 from unittest import TestCase
 
@@ -17,11 +15,11 @@
 
 SEEDS = (1, 2, 3)
 TIGHT_SLACK = 36.0
-"""Fixed second sends of the whole fleet in ten seconds: two for each of its instances."""
+"""Fixed number of extra attempts of the whole fleet in ten seconds: two per instance."""
 
 
 class SlowFleetTests(TestCase):
-    """Play eighteen instances with a fifth of a core each and hardly any budget."""
+    """Eighteen instances with a fifth of a core each and a very small budget of extra attempts."""
 
     @classmethod
     def setUpClass(cls):
@@ -31,18 +29,20 @@
     def mean(self, from_ms: float, to_ms: float) -> float:
         return sum(run.credit(from_ms, to_ms) for run in self.runs) / len(self.runs)
 
-    def test_a_slow_fleet_serves_its_usual_load(self):
-        """Words of slow peers came late, and all of their blocks were asked again.
+    def test_a_slow_fleet_serves_its_normal_load(self):
+        """Guard against late acknowledgements of slow peers that use up the extra attempts.
 
-        That emptied the budget, and without it the next late word was a failure: two thirds of
-        the usual load failed, without any fault.
+        All shards of the late groups were sent again. That used up the budget, and without it
+        the next late acknowledgement was a failure: two thirds of the normal load failed, without
+        any fault.
         """
         self.assertGreater(self.mean(CALM_MS, BURST_MS), 0.6)
 
     def test_service_is_back_within_five_seconds_of_a_burst(self):
-        """Three times the load comes for five seconds, and the work that lateness makes stays.
+        """Guard against extra work that lateness causes and that outlasts a burst.
 
-        The fleet then served less than before the burst at the same load.
+        After five seconds of three times the load, the fleet served less than before the burst
+        at the same load.
         """
         calm = self.mean(CALM_MS, BURST_MS)
         self.assertGreater(self.mean(AFTER_MS, END_MS), 0.9 * calm)
@@ -59,7 +59,7 @@
             run = FleetRun(build_load(instances, 0.5), 1).run()
             self.assertGreater(run.credit(CALM_MS, BURST_MS), 0.95, instances)
             self.assertGreater(run.credit(AFTER_MS, END_MS), 0.9, instances)
-            self.assertLess(run.connections_per_part, 0.2, instances)
+            self.assertLess(run.connections_per_subrequest, 0.2, instances)
 
     def test_the_same_seed_gives_the_same_row(self):
         load = replace(build_load(6, 0.5), end_ms=FIRST_MS + 2_000.0)
@@ -67,14 +67,14 @@
 
 
 class ConnectionsTests(TestCase):
-    def test_an_idle_connection_is_used_again_until_it_is_too_old(self):
+    def test_an_idle_connection_is_reused_until_it_is_too_old(self):
         connections = Connections()
-        self.assertFalse(connections.take(1, "u", 0.0))
+        self.assertFalse(connections.acquire(1, "u", 0.0))
         self.assertTrue(connections.is_new(1))
-        connections.give_back("u", 10.0)
-        self.assertTrue(connections.take(2, "u", 20.0))
+        connections.release("u", 10.0)
+        self.assertTrue(connections.acquire(2, "u", 20.0))
         self.assertFalse(connections.is_new(2))
-        self.assertFalse(connections.take(3, "u", 20.0))
-        connections.give_back("u", 30.0)
-        self.assertFalse(connections.take(4, "u", 30.0 + IDLE_MS))
+        self.assertFalse(connections.acquire(3, "u", 20.0))
+        connections.release("u", 30.0)
+        self.assertFalse(connections.acquire(4, "u", 30.0 + IDLE_MS))
         self.assertEqual(3, connections.opened)
--- a/packages/geraniumlead-standins/tests/standins_tests/bench/test_report.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/bench/test_report.py
@@ -1,5 +1,3 @@
-"""Test the bench's report."""
-
 from pathlib import Path
 from tempfile import TemporaryDirectory
 from unittest import TestCase
