--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/load_model.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/load_model.py
@@ -75,7 +75,7 @@
         while first_ms < self.seconds * 1000.0:
             pauses.append(TimeInterval(first_ms, first_ms + PAUSE_MS))
             first_ms += PAUSE_EVERY_MS * random.uniform(0.8, 1.2)
-        others = [
+        background = [
             (at_ms, self.draw_work_ms(random))
             for at_ms in self._arrivals(random, self.background_per_s)
         ]
@@ -87,7 +87,7 @@
             pauses=pauses,
             slow=[fault] if random.random() < self.slow_share else [],
             unresponsive=[fault] if number < self.unresponsive_shards else [],
-            background=others,
+            background=background,
         )
 
     def _arrivals(self, random: Random, per_s: float) -> list[float]:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/oracle.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/oracle.py
@@ -25,7 +25,8 @@
 def run_plain(load: LoadModel, seed: int) -> Credit:
     """Send each subrequest once, to a random upstream.
 
-    At the latency goal it answers with the shards that have arrived, if these are enough.
+    At the latency goal it answers with the shards that have arrived if these are enough, and
+    otherwise late, as soon as they are enough.
     """
     replica_random = Random(f"{seed}/{load.name}/lots")
     return _run(load, seed, lambda upstreams, _: replica_random.choice(upstreams))
