--- a/packages/geraniumlead-server/src/geraniumlead_server/daemon.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/daemon.py
@@ -9,7 +9,7 @@
 from geraniumlead.events import PeerMessageReceived, StopRequested
 from geraniumlead.instance import Instance
 from geraniumlead.instance.instance import INCARNATION_BITS
-from geraniumlead.peers import SubqueryBatch, decode_message, encode_message
+from geraniumlead.peer_messages import SubqueryBatch, decode_message, encode_message
 from geraniumlead.settings import InstanceSettings
 from geraniumlead_server.callers import build_callers_app
 from geraniumlead_server.driver import InstanceDriver
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform/store_records.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform/store_records.py
@@ -5,7 +5,6 @@
 from msgspec import DecodeError, Meta, Struct, ValidationError
 from msgspec.json import Decoder
 
-from geraniumlead.fleet import UpstreamRecord
 from geraniumlead.forwarding import (
     ConfigurationSeen,
     EvacuationSeen,
@@ -13,6 +12,7 @@
     UpstreamWithdrawn,
 )
 from geraniumlead.forwarding.updates import PublishedUpdate
+from geraniumlead.published_upstreams import UpstreamRecord
 from geraniumlead.routes import (
     FanOut,
     OneService,
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/test_attempt_client.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/test_attempt_client.py
@@ -3,7 +3,6 @@
 import asyncio
 from unittest import IsolatedAsyncioTestCase
 
-from geraniumlead.fleet import UpstreamRecord
 from geraniumlead.forwarding import (
     AttemptEnded,
     Completed,
@@ -13,6 +12,7 @@
     PossiblyExecuted,
     StartAttempt,
 )
+from geraniumlead.published_upstreams import UpstreamRecord
 from geraniumlead_server.forwarding_client import AttemptClient
 from geraniumlead_standins.forwarding import StubUpstream, UpstreamFault
 from server_tests.ports import find_free_port
--- a/packages/geraniumlead-server/tests/server_tests/peer_transport/test_dealers.py
+++ b/packages/geraniumlead-server/tests/server_tests/peer_transport/test_dealers.py
@@ -4,7 +4,7 @@
 from unittest.mock import Mock
 
 from geraniumlead.actions import SendToPeer
-from geraniumlead.peers import Goodbye
+from geraniumlead.peer_messages import Goodbye
 from geraniumlead_server.peer_transport.dealers import IDLE_S, Dealers
 
 
--- a/packages/geraniumlead-server/tests/server_tests/peer_transport/test_transport.py
+++ b/packages/geraniumlead-server/tests/server_tests/peer_transport/test_transport.py
@@ -8,8 +8,8 @@
 from geraniumlead.actions import SendToPeer
 from geraniumlead.configuration import ClusterView
 from geraniumlead.documents import InstanceEntry
+from geraniumlead.peer_messages import Goodbye, decode_message, encode_message
 from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
-from geraniumlead.peers import Goodbye, decode_message, encode_message
 from geraniumlead.settings import InstanceSettings, ListenSettings
 from geraniumlead_server.peer_transport import PeerCodec, PeerTransport
 from geraniumlead_server.peer_transport.published_keys import PublishedKeys
--- a/packages/geraniumlead-server/tests/server_tests/platform/test_store_records.py
+++ b/packages/geraniumlead-server/tests/server_tests/platform/test_store_records.py
@@ -4,13 +4,13 @@
 
 from msgspec.json import encode
 
-from geraniumlead.fleet import UpstreamRecord
 from geraniumlead.forwarding import (
     ConfigurationSeen,
     EvacuationSeen,
     UpstreamSeen,
     UpstreamWithdrawn,
 )
+from geraniumlead.published_upstreams import UpstreamRecord
 from geraniumlead.routes import FanOut, OneService, SplitServices
 from geraniumlead_server.platform.store_records import Unreadable, read_item
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/control.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/control.py
@@ -29,7 +29,7 @@
 )
 from geraniumlead.events import PeerMessageReceived
 from geraniumlead.instance import Instance
-from geraniumlead.peers import Heartbeat, encode_message
+from geraniumlead.peer_messages import Heartbeat, encode_message
 from geraniumlead_standins.virtual.small_cluster import (
     ClusterSize,
     SmallCluster,
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/load.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/load.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from geraniumlead.fleet import UpstreamRecord
+from geraniumlead.published_upstreams import UpstreamRecord
 from geraniumlead.routes import (
     FanOut,
     PublishedConfiguration,
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/forwarder_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/forwarder_run.py
@@ -4,7 +4,6 @@
 from itertools import count
 from random import Random
 
-from geraniumlead.fleet import UpstreamRecord
 from geraniumlead.forwarding import (
     AttemptEnded,
     Completed,
@@ -20,6 +19,7 @@
     TimePassed,
     UpstreamSeen,
 )
+from geraniumlead.published_upstreams import UpstreamRecord
 from geraniumlead.routes import (
     FanOut,
     PublishedConfiguration,
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/policies.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/policies.py
@@ -7,7 +7,7 @@
 from geraniumlead.cold_start import ColdStartGuard
 from geraniumlead.quarantine import QuarantineTracker
 from geraniumlead.routing import Route, Router
-from geraniumlead.tail import StragglerDetector
+from geraniumlead.tail_latency import StragglerDetector
 
 
 @contextmanager
@@ -28,7 +28,9 @@
 def with_random_replicas() -> Iterator[None]:
     """Choose among the replicas of the data centre by chance alone."""
 
-    def choose(self, replicas, tried, now_ms, long_running=False, only_good=False) -> Route | None:
+    def choose(
+        self, replicas, tried, now_ms, long_running=False, skip_avoided=False
+    ) -> Route | None:
         group = self._group_of(replicas)
         for tier in group.tiers:
             left = [replica for replica in tier if replica.upstream_id not in tried]
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/decision_cpu.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/decision_cpu.py
@@ -4,7 +4,7 @@
 from time import process_time
 
 from geraniumlead.events import PeerMessageReceived, QueryArrived, TimerFired
-from geraniumlead.peers import SubqueryBatch
+from geraniumlead.peer_messages import SubqueryBatch
 from geraniumlead.requests import Answered, CallerRequest, NotRun
 from geraniumlead.upstreams import Subquery
 from geraniumlead_standins.capacity.decision_cluster import build_driver
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/echo_driver.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/echo_driver.py
@@ -3,7 +3,7 @@
 from geraniumlead.actions import Action, AnswerCaller, CallUpstream, SendToPeer
 from geraniumlead.events import Event, PeerMessageReceived, TimerFired, UpstreamAnswered
 from geraniumlead.instance import Instance
-from geraniumlead.peers import (
+from geraniumlead.peer_messages import (
     Heartbeat,
     Probe,
     ProbeReply,
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/message_cpu.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/message_cpu.py
@@ -4,7 +4,7 @@
 
 import zmq
 
-from geraniumlead.peers import (
+from geraniumlead.peer_messages import (
     SubqueryBatch,
     SubqueryResult,
     SubqueryResultBatch,
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/virtual_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/virtual_run.py
@@ -23,7 +23,7 @@
     UpstreamDisconnected,
 )
 from geraniumlead.instance import Instance
-from geraniumlead.peers import decode_message, encode_message
+from geraniumlead.peer_messages import decode_message, encode_message
 from geraniumlead.settings import InstanceSettings
 from geraniumlead.upstreams import ConnectionLost, NotReached, TimedOut, UpstreamAnswer
 from geraniumlead_standins.virtual.event_queue import EventQueue
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_large_documents.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_large_documents.py
@@ -7,7 +7,7 @@
 
 from geraniumlead.actions import SendToPeer
 from geraniumlead.documents import UpstreamEntry, UpstreamListDocument
-from geraniumlead.peers import DocumentsUpdate
+from geraniumlead.peer_messages import DocumentsUpdate
 from geraniumlead_standins.virtual.small_cluster import ClusterSize
 from standins_tests.membership.builders import SETTLED_MS, RecordedCluster
 
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_strangers.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_strangers.py
@@ -3,7 +3,7 @@
 from unittest import TestCase
 
 from geraniumlead.events import PeerMessageReceived
-from geraniumlead.peers import SubqueryBatch
+from geraniumlead.peer_messages import SubqueryBatch
 from geraniumlead.upstreams import Subquery
 from geraniumlead_standins.virtual.small_cluster import ClusterSize
 from standins_tests.membership.builders import SETTLED_MS, RecordedCluster
--- a/packages/geraniumlead/src/geraniumlead/admission/controller.py
+++ b/packages/geraniumlead/src/geraniumlead/admission/controller.py
@@ -10,7 +10,7 @@
 from geraniumlead.admission.wall_clock import WallClock
 from geraniumlead.configuration.cluster_view import ClusterView
 from geraniumlead.documents.traffic_class import TrafficClass
-from geraniumlead.peers.messages import ContractDemand
+from geraniumlead.peer_messages.messages import ContractDemand
 from geraniumlead.requests.caller_request import CallerRequest
 from geraniumlead.requests.coverage import Coverage
 from geraniumlead.requests.outcomes import Answered, Failed, NotRun, Outcome
--- a/packages/geraniumlead/src/geraniumlead/admission/fleet_shares.py
+++ b/packages/geraniumlead/src/geraniumlead/admission/fleet_shares.py
@@ -3,7 +3,7 @@
 
 from geraniumlead.admission.decaying_rate import DecayingRate
 from geraniumlead.admission.share_lease import ShareLease
-from geraniumlead.peers.messages import ContractDemand
+from geraniumlead.peer_messages.messages import ContractDemand
 
 EVERY_PEER = ""
 """Key of the demand report for all peers that get no report of their own."""
--- a/packages/geraniumlead/src/geraniumlead/coordination/call_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/call_tracker.py
@@ -6,7 +6,7 @@
 from geraniumlead.coordination.steps import CancelSubquery, CoordinationStep, SendSubquery
 from geraniumlead.routing.route import Route
 from geraniumlead.routing.router import Router
-from geraniumlead.tail.straggler_detector import StragglerDetector
+from geraniumlead.tail_latency.straggler_detector import StragglerDetector
 from geraniumlead.upstreams.answers import Records, UpstreamAnswer
 from geraniumlead.upstreams.subquery import Subquery
 
@@ -17,23 +17,23 @@
     It maps every open call to its shard and reports the results to the router.
     """
 
-    __slots__ = ("_calls", "_clock", "_next_call", "_prefix", "_router")
+    __slots__ = ("_calls", "_detector", "_next_call", "_prefix", "_router")
 
-    def __init__(self, prefix: str, router: Router, clock: StragglerDetector) -> None:
+    def __init__(self, prefix: str, router: Router, detector: StragglerDetector) -> None:
         self._prefix = prefix
         self._router = router
-        self._clock = clock
+        self._detector = detector
         self._calls: dict[str, OpenCall] = {}
         self._next_call = 0
 
     def send_subquery(
-        self, query: OpenQuery, shard: ShardState, now_ms: float, only_healthy: bool = False
+        self, query: OpenQuery, shard: ShardState, now_ms: float, skip_avoided: bool = False
     ) -> list[SendSubquery]:
         """Send a subquery to the best untried replica; return no step if there is none."""
         if query.request.deadline_ms <= now_ms:
             return []
         is_long = query.traffic_class.long_running
-        route = self._router.choose(shard.plan.replicas, shard.tried, now_ms, is_long, only_healthy)
+        route = self._router.choose(shard.plan.replicas, shard.tried, now_ms, is_long, skip_avoided)
         if route is None:
             return []
         step = self._send(query, shard, route, now_ms)
@@ -77,7 +77,7 @@
             call.query.probe_ids.remove(call_id)
             return None
         if isinstance(answer, Records):
-            self._clock.record(call.query.plan.service, latency_ms, now_ms)
+            self._detector.record(call.query.plan.service, latency_ms, now_ms)
         call.shard.call_ids.remove(call_id)
         return call
 
@@ -122,7 +122,7 @@
             # fall from window to window, and more and more subqueries would count as late.
             if shard.sent_count > 1 and call.sent_ms < shard.sent_ms:
                 service = call.query.plan.service
-                self._clock.record(service, now_ms - call.sent_ms, now_ms)
+                self._detector.record(service, now_ms - call.sent_ms, now_ms)
             steps.append(self._cancel(call_id, now_ms))
         shard.call_ids.clear()
         return steps
--- a/packages/geraniumlead/src/geraniumlead/coordination/coordinator.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/coordinator.py
@@ -18,7 +18,7 @@
 from geraniumlead.requests.outcomes import Answered, Outcome, Unknown
 from geraniumlead.requests.reasons import MissingReason
 from geraniumlead.routing.router import Router
-from geraniumlead.tail.straggler_detector import StragglerDetector
+from geraniumlead.tail_latency.straggler_detector import StragglerDetector
 from geraniumlead.upstreams.answers import (
     NOT_EXECUTED,
     Cold,
@@ -49,13 +49,13 @@
 
     def __init__(self, call_prefix: str, router: Router, guard: CrashGuard) -> None:
         self.guard = guard
-        clock = StragglerDetector()
+        detector = StragglerDetector()
         self._view = ClusterView()
         self._queries: dict[str, OpenQuery] = {}
         self._wakes: list[tuple[float, str]] = []
         self._budgets = BudgetRegistry()
-        self._calls = CallTracker(call_prefix, router, clock)
-        self._stragglers = StragglerMonitor(self._calls, clock, self._budgets)
+        self._calls = CallTracker(call_prefix, router, detector)
+        self._stragglers = StragglerMonitor(self._calls, detector, self._budgets)
 
     def __len__(self) -> int:
         """Return the number of open queries."""
--- a/packages/geraniumlead/src/geraniumlead/coordination/retry_budget.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/extra_subquery_budget.py
@@ -2,7 +2,7 @@
 MAX_BALANCE = 50.0
 
 
-class RetryBudget:
+class ExtraSubqueryBudget:
     """Limits extra subqueries of a contract's traffic class to a share of its first subqueries.
 
     When an upstream fails or sheds load, each refused subquery is retried. Without a budget,
--- a/packages/geraniumlead/src/geraniumlead/coordination/straggler_monitor.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/straggler_monitor.py
@@ -4,13 +4,13 @@
 from geraniumlead.coordination.shard_state import ShardState
 from geraniumlead.coordination.steps import SendSubquery
 from geraniumlead.requests.reasons import MissingReason
-from geraniumlead.tail.straggler_detector import StragglerDetector
+from geraniumlead.tail_latency.straggler_detector import StragglerDetector
 
 MAX_HEDGES = 2
 """Maximum number of hedges per shard. With one hedge and 1,200 shards, too many queries have a
 shard where both answers are late."""
 
-FIRST_PARK_MS = 20.0
+INITIAL_PARK_MS = 20.0
 MAX_PARK_MS = 320.0
 NEVER_MS = float("inf")
 
@@ -22,13 +22,13 @@
     more timers than one.
     """
 
-    __slots__ = ("_budgets", "_calls", "_clock")
+    __slots__ = ("_budgets", "_calls", "_detector")
 
     def __init__(
-        self, calls: CallTracker, clock: StragglerDetector, budgets: BudgetRegistry
+        self, calls: CallTracker, detector: StragglerDetector, budgets: BudgetRegistry
     ) -> None:
         self._calls = calls
-        self._clock = clock
+        self._detector = detector
         self._budgets = budgets
 
     def park(
@@ -39,7 +39,7 @@
         All replicas of a shard may briefly be cold, leaving or restarting. Without parking, the
         query would give up the shard in the first millisecond.
         """
-        wait_ms = min(MAX_PARK_MS, FIRST_PARK_MS * 2**shard.parked_count)
+        wait_ms = min(MAX_PARK_MS, INITIAL_PARK_MS * 2**shard.parked_count)
         if not shard.plan.replicas or now_ms + wait_ms >= query.request.deadline_ms:
             return False
         shard.parked_until_ms = now_ms + wait_ms
@@ -60,7 +60,7 @@
     def check(self, query: OpenQuery, now_ms: float) -> list[SendSubquery]:
         """Send subqueries for late and parked shards, and schedule the next check."""
         delay_ms = self._delay_ms(query, now_ms)
-        give_up_ms = self._clock.give_up_ms(query.plan.service, now_ms)
+        give_up_ms = self._detector.give_up_ms(query.plan.service, now_ms)
         query.monitored = [shard for shard in query.monitored if not shard.is_resolved]
         query.next_check_ms = NEVER_MS
         steps: list[SendSubquery] = []
@@ -77,7 +77,7 @@
 
     def expects_no_answer(self, query: OpenQuery, now_ms: float) -> bool:
         """Return whether none of the missing answers is likely to come."""
-        give_up_ms = self._clock.give_up_ms(query.plan.service, now_ms)
+        give_up_ms = self._detector.give_up_ms(query.plan.service, now_ms)
         return all(
             shard.is_resolved
             or shard.parked_until_ms is not None
@@ -91,7 +91,7 @@
         traffic_class = query.traffic_class
         if not traffic_class.idempotent or traffic_class.hedge_share <= 0.0:
             return None
-        return self._clock.delay_ms(query.plan.service, traffic_class.hedge_share, now_ms)
+        return self._detector.delay_ms(query.plan.service, traffic_class.hedge_share, now_ms)
 
     def _retry_parked(
         self, query: OpenQuery, shard: ShardState, now_ms: float
@@ -114,7 +114,7 @@
         budget = self._budgets.hedges_of(query)
         if shard.hedges >= MAX_HEDGES or not budget.spend():
             return []
-        steps = self._calls.send_subquery(query, shard, now_ms, only_healthy=True)
+        steps = self._calls.send_subquery(query, shard, now_ms, skip_avoided=True)
         if not steps:
             budget.refund()
             return []
@@ -132,7 +132,7 @@
         budget = self._budgets.retries_of(query)
         if not budget.spend():
             return []
-        steps = self._calls.send_subquery(query, shard, now_ms, only_healthy=True)
+        steps = self._calls.send_subquery(query, shard, now_ms, skip_avoided=True)
         if not steps:
             budget.refund()
         return steps
--- a/packages/geraniumlead/src/geraniumlead/events/peer_message_received.py
+++ b/packages/geraniumlead/src/geraniumlead/events/peer_message_received.py
@@ -1,6 +1,6 @@
 from dataclasses import dataclass
 
-from geraniumlead.peers.messages import PeerMessage
+from geraniumlead.peer_messages.messages import PeerMessage
 
 
 @dataclass(slots=True, frozen=True)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/actions.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/actions.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-from geraniumlead.fleet import UpstreamRecord
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
 from geraniumlead.forwarding.replies import Reply
 from geraniumlead.peering import DelegatedReply, DelegationAcknowledged
 from geraniumlead.peering.outgoing_peer_message import OutgoingPeerMessage
+from geraniumlead.published_upstreams import UpstreamRecord
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/attempt_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/attempt_tracker.py
@@ -1,6 +1,5 @@
 from random import Random
 
-from geraniumlead.fleet import FleetView, UpstreamRecord
 from geraniumlead.forwarding.actions import CancelAttempt, ForwardingAction, StartAttempt
 from geraniumlead.forwarding.extra_attempt_budgets import ExtraAttemptBudgets
 from geraniumlead.forwarding.isolation_detector import IsolationDetector
@@ -15,6 +14,7 @@
     PossiblyExecuted,
 )
 from geraniumlead.forwarding.upstream_chooser import UpstreamChooser
+from geraniumlead.published_upstreams import UpstreamRecord, UpstreamView
 from geraniumlead.settings.forwarding_settings import ForwardingSettings
 
 
@@ -39,7 +39,7 @@
     def __init__(
         self,
         settings: ForwardingSettings,
-        fleet: FleetView,
+        upstream_view: UpstreamView,
         random: Random,
         actions: list[ForwardingAction],
     ) -> None:
@@ -50,7 +50,7 @@
         self.lateness = LatenessEstimator()
         self.isolation = IsolationDetector()
         self.relative_rtts = RelativeRtts(settings)
-        self.chooser = UpstreamChooser(settings, fleet, self.relative_rtts, random)
+        self.chooser = UpstreamChooser(settings, upstream_view, self.relative_rtts, random)
 
     def choose(
         self, subrequest: Subrequest, now_ms: float, skip_avoided: bool = False
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegated_subrequests.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegated_subrequests.py
@@ -1,6 +1,5 @@
 from collections.abc import Mapping, Sequence
 
-from geraniumlead.fleet import UpstreamRecord
 from geraniumlead.forwarding.actions import ForwardingAction, PeerReply
 from geraniumlead.forwarding.delegated_request_registry import DelegatedRequestRegistry
 from geraniumlead.forwarding.delegation_planner import DelegationPlanner
@@ -9,6 +8,7 @@
 from geraniumlead.forwarding.results import Completed
 from geraniumlead.forwarding.subrequest_sender import SubrequestSender
 from geraniumlead.peering import DelegatedReply, PeerContact
+from geraniumlead.published_upstreams import UpstreamRecord
 
 OK = 200
 
@@ -81,9 +81,9 @@
         than the route allows.
         """
         missing = [subrequest for subrequest in delegation.subrequests if not subrequest.is_settled]
-        if not delegation.is_shared:
-            delegation.is_shared = True
-            self._actions.append(self.tracker.build_shared_message(delegation))
+        if not delegation.is_hedged:
+            delegation.is_hedged = True
+            self._actions.append(self.tracker.build_hedged_message(delegation))
             for subrequest in missing:
                 self._sender.record_peer_attempts(subrequest, (None,))
         self._sender.hedge_delegated(missing, delegation.lateness is Lateness.REPLY, now_ms)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegation_planner.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegation_planner.py
@@ -4,11 +4,11 @@
 from math import ceil
 from random import Random
 
-from geraniumlead.fleet import FleetView, UpstreamRecord
 from geraniumlead.forwarding.aggregator_chooser import AggregatorChooser
 from geraniumlead.forwarding.open_request import OpenRequest, Subrequest
 from geraniumlead.hashing import hash_text
 from geraniumlead.peering import KnownPeer, PeerDirectory
+from geraniumlead.published_upstreams import UpstreamRecord, UpstreamView
 from geraniumlead.routes import Route
 from geraniumlead.settings.forwarding_settings import ForwardingSettings
 
@@ -49,17 +49,17 @@
     as far as their views agree. A different view only leads to fewer warm connections.
     """
 
-    __slots__ = ("_aggregators", "_directory", "_fleet", "_random", "_settings")
+    __slots__ = ("_aggregators", "_directory", "_random", "_settings", "_upstream_view")
 
     def __init__(
         self,
         settings: ForwardingSettings,
-        fleet: FleetView,
+        upstream_view: UpstreamView,
         directory: PeerDirectory,
         random: Random,
     ) -> None:
         self._settings = settings
-        self._fleet = fleet
+        self._upstream_view = upstream_view
         self._directory = directory
         self._random = random
         self._aggregators = AggregatorChooser(settings, directory, random)
@@ -134,7 +134,7 @@
         for subrequest in groups[region]:
             data_centre = min(
                 record.data_centre
-                for record in self._fleet.usable(subrequest.service)
+                for record in self._upstream_view.usable(subrequest.service)
                 if self._region_of(record.data_centre) == region
             )
             by_data_centre.setdefault(data_centre, []).append(subrequest)
@@ -169,12 +169,12 @@
             data_centre
             for subrequest in opened.subrequests
             for data_centre in {
-                record.data_centre for record in self._fleet.usable(subrequest.service)
+                record.data_centre for record in self._upstream_view.usable(subrequest.service)
             }
         )
 
     def _has_near(self, service: str) -> bool:
-        records = self._fleet.usable(service)
+        records = self._upstream_view.usable(service)
         return any(self._region_of(r.data_centre) == self._settings.region for r in records)
 
     def _group_by_region(
@@ -191,7 +191,7 @@
         """Return the other regions in which a service has an upstream that may be used."""
         found = {
             region
-            for record in self._fleet.usable(service)
+            for record in self._upstream_view.usable(service)
             if (region := self._region_of(record.data_centre)) is not None
         }
         if route.allowed_regions:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegation_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegation_tracker.py
@@ -3,7 +3,7 @@
 
 from geraniumlead.forwarding.aggregator_chooser import MAX_ACK_GOAL_SHARE, MIN_GOAL_LEFT_MS
 from geraniumlead.forwarding.open_request import OpenRequest, Subrequest
-from geraniumlead.forwarding.own_delay import DelaySamples
+from geraniumlead.forwarding.processing_delay import DelaySamples
 from geraniumlead.forwarding.wake_times import WakeTimes
 from geraniumlead.peering import (
     DelegatedReply,
@@ -52,7 +52,7 @@
     ``due_ms`` is when the next message of the peer is due, ``partial_reply_due_ms`` when the
     answers it has at its goal should be here, ``reply_due_ms`` when it is late without them. Once
     anything is overdue, its subrequests are sent from here as well, as far as the budget allows;
-    ``is_shared`` says that the peer was told so.
+    ``is_hedged`` is set once the peer was notified of it.
     """
 
     number: int
@@ -66,7 +66,7 @@
     is_acknowledged: bool = False
     lateness: Lateness = Lateness.NOTHING
     was_extended: bool = False
-    is_shared: bool = False
+    is_hedged: bool = False
 
     def subrequest_at(self, position: int) -> Subrequest | None:
         """Return the subrequest at a position in the request to the peer; None if there is none."""
@@ -242,7 +242,7 @@
         """Return when ``pop_overdue`` has to be called."""
         return self._wakes.next_ms()
 
-    def build_shared_message(self, delegation: Delegation) -> OutgoingPeerMessage:
+    def build_hedged_message(self, delegation: Delegation) -> OutgoingPeerMessage:
         """Return the message that the subrequests are sent from here as well."""
         return self._address_message(delegation, DelegationHedged(delegation.number))
 
--- a/packages/geraniumlead/src/geraniumlead/forwarding/forwarder.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/forwarder.py
@@ -1,6 +1,5 @@
 from random import Random
 
-from geraniumlead.fleet import FleetView
 from geraniumlead.forwarding.actions import ForwardingAction, LogDecision, SendReply
 from geraniumlead.forwarding.events import (
     AttemptEnded,
@@ -21,6 +20,7 @@
 from geraniumlead.forwarding.request_runner import RequestRunner
 from geraniumlead.forwarding.retry_after import RetryAfter
 from geraniumlead.peering import PeerContact, PeerDirectory, StoreWatch
+from geraniumlead.published_upstreams import UpstreamView
 from geraniumlead.settings.forwarding_settings import ForwardingSettings
 
 INCARNATION_BITS = 48
@@ -50,7 +50,7 @@
     def __init__(self, settings: ForwardingSettings, random: Random, now_ms: float = 0.0) -> None:
         self._settings = settings
         self._actions: list[ForwardingAction] = []
-        fleet = FleetView()
+        upstream_view = UpstreamView()
         self._retry_after = RetryAfter(random)
         contact = PeerContact(settings.instance_id, settings.address, settings.data_centre)
         incarnation = random.getrandbits(INCARNATION_BITS)
@@ -58,9 +58,9 @@
             contact, settings.seeds, incarnation, random, now_ms, settings.regions
         )
         self._runner = RequestRunner(
-            settings, fleet, random, self._retry_after, self._actions, directory
+            settings, upstream_view, random, self._retry_after, self._actions, directory
         )
-        self.published = PublishedState(fleet, self._runner.chooser, self._actions)
+        self.published = PublishedState(upstream_view, self._runner.chooser, self._actions)
         self._peers = PeerMessageHandler(directory, self._runner, self.published, self._actions)
         self.store_watch = StoreWatch(directory, settings.data_centre, settings.regions)
         self.is_stopping = False
@@ -102,7 +102,7 @@
             case PeerMessageReceived(sender_id=sender_id, message=message):
                 self._peers.handle(sender_id, message, now_ms, self.is_ready)
             case ReplyWritten(took_ms=took_ms):
-                self._runner.own_delay.record_write(took_ms, now_ms)
+                self._runner.processing_delay.record_write(took_ms, now_ms)
             case TimePassed():
                 pass
         self.published.expire(now_ms)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/lateness_estimator.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/lateness_estimator.py
@@ -3,7 +3,7 @@
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
 from geraniumlead.forwarding.open_request import Attempt
 from geraniumlead.routes import Route
-from geraniumlead.tail import StragglerDetector
+from geraniumlead.tail_latency import StragglerDetector
 
 MIN_SAMPLES = 40
 """Minimum number of answers for reliable quantiles: an instance receives some twenty to sixty a
@@ -50,24 +50,24 @@
 class LatenessEstimator:
     """An estimator of lateness from the latencies of each route without the relative RTT."""
 
-    __slots__ = ("_clock", "_longest_wait_ms")
+    __slots__ = ("_detector", "_longest_wait_ms")
 
     def __init__(self) -> None:
-        self._clock = StragglerDetector(MIN_SAMPLES)
+        self._detector = StragglerDetector(MIN_SAMPLES)
         self._longest_wait_ms: dict[str, float] = {}
 
     def record(self, route: Route, latency_ms: float, now_ms: float) -> None:
         """Record the latency of an answer or of a late attempt that was cancelled."""
-        self._clock.record(route.name, latency_ms, now_ms)
+        self._detector.record(route.name, latency_ms, now_ms)
 
     def median_latency_ms(self, route: Route, now_ms: float) -> float:
         """Return the median latency of the route's attempts, without the relative RTT."""
-        found_ms = self._clock.delay_ms(route.name, 0.5, now_ms)
+        found_ms = self._detector.delay_ms(route.name, 0.5, now_ms)
         return found_ms or UNKNOWN_MEDIAN_GOAL_SHARE * route.latency_goal_ms
 
     def has_latencies(self, route: Route, now_ms: float) -> bool:
         """Return whether enough latencies of the route are known."""
-        return self._clock.delay_ms(route.name, LATE_SHARE, now_ms) is not None
+        return self._detector.delay_ms(route.name, LATE_SHARE, now_ms) is not None
 
     def late_ms(
         self, attempt: Attempt, goal_left_ms: float, now_ms: float, has_ample_budget: bool
@@ -80,9 +80,9 @@
         most attempts that are slightly late are normal work and are still answered.
         """
         route = attempt.subrequest.request.route
-        found_ms = self._clock.delay_ms(route.name, LATE_SHARE, now_ms)
+        found_ms = self._detector.delay_ms(route.name, LATE_SHARE, now_ms)
         second_share = SECOND_IN_TIME_SHARE if has_ample_budget else LOW_BUDGET_SECOND_IN_TIME_SHARE
-        second_ms = self._clock.delay_ms(route.name, 1.0 - second_share, now_ms)
+        second_ms = self._detector.delay_ms(route.name, 1.0 - second_share, now_ms)
         if found_ms is None or second_ms is None:
             share = (
                 UNKNOWN_LATE_GOAL_SHARE if has_ample_budget else LOW_BUDGET_UNKNOWN_LATE_GOAL_SHARE
--- a/packages/geraniumlead/src/geraniumlead/forwarding/open_request.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/open_request.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass, field
 
-from geraniumlead.fleet import UpstreamRecord
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
 from geraniumlead.forwarding.results import Completed
+from geraniumlead.published_upstreams import UpstreamRecord
 from geraniumlead.routes import FanOut, PublishedConfiguration, Route
 
 MAX_STEPS = 40
@@ -62,7 +62,7 @@
 
     ``goal_ms`` is when the reply should be sent; up to ``margin_ms`` later it still reaches the
     caller in time. ``view_age_ms`` is how old the data about upstreams and routes was at the
-    start. ``is_shared`` is set if the peer that delegated the request queries its shards as well.
+    start. ``is_hedged`` is set if the peer that delegated the request queries its shards as well.
     """
 
     request: ForwardedRequest
@@ -79,7 +79,7 @@
     extra_attempts: int = 0
     delegations: set[int] = field(default_factory=set)
     is_reported: bool = False
-    is_shared: bool = False
+    is_hedged: bool = False
     steps: list[dict] = field(default_factory=list)
 
     @property
--- a/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
@@ -153,7 +153,7 @@
             case DelegationHedged(number=number):
                 key = registry.find_key(sender_id, number)
                 if key is not None:
-                    self._runner.mark_shared(key)
+                    self._runner.mark_hedged(key)
 
     def _count_instances(self, now_ms: float) -> None:
         count = self.directory.instance_count(now_ms)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/own_delay.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/processing_delay.py
@@ -47,8 +47,11 @@
         return ordered[int(DELAY_QUANTILE * (len(ordered) - 1))]
 
 
-class OwnDelay:
-    """Delays of timers, and of replies between their decision and the write to the socket.
+class ProcessingDelay:
+    """The time that this instance's own work takes of a latency goal.
+
+    It consists of the delays of timers, and of the time that replies take from their decision until
+    they are written to the socket.
 
     Load pattern: a small or slowed-down machine serves queries over a hundred shards. The timer at
     the goal has to wait for a burst of answers to be processed, and merging and writing take more
--- a/packages/geraniumlead/src/geraniumlead/forwarding/published_state.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/published_state.py
@@ -1,6 +1,5 @@
 from collections import Counter
 
-from geraniumlead.fleet import FleetView, UpstreamRecord
 from geraniumlead.forwarding.actions import ForwardingAction, LogDecision
 from geraniumlead.forwarding.events import PublishedUpdates
 from geraniumlead.forwarding.updates import (
@@ -10,6 +9,7 @@
     UpstreamWithdrawn,
 )
 from geraniumlead.forwarding.upstream_chooser import UpstreamChooser
+from geraniumlead.published_upstreams import UpstreamRecord, UpstreamView
 from geraniumlead.routes import PublishedConfiguration
 
 _LOGGED_NAMES = {
@@ -26,18 +26,25 @@
 
 
 class PublishedState:
-    """The configuration in force and the fleet, as published by operators and upstreams.
+    """The configuration in force and the known upstreams, as operators and upstreams publish them.
 
     Each change of the observed state is logged. A configuration is only replaced by one with a
     higher version, so neither a stale read nor a lost answer can bring an old one back.
     """
 
-    __slots__ = ("_actions", "_chooser", "_fleet", "_lost_since_ms", "answered_ms", "configuration")
+    __slots__ = (
+        "_actions",
+        "_chooser",
+        "_lost_since_ms",
+        "_upstream_view",
+        "answered_ms",
+        "configuration",
+    )
 
     def __init__(
-        self, fleet: FleetView, chooser: UpstreamChooser, actions: list[ForwardingAction]
+        self, upstream_view: UpstreamView, chooser: UpstreamChooser, actions: list[ForwardingAction]
     ) -> None:
-        self._fleet = fleet
+        self._upstream_view = upstream_view
         self._chooser = chooser
         self._actions = actions
         self._lost_since_ms: float | None = None
@@ -47,7 +54,7 @@
     @property
     def can_serve(self) -> bool:
         """Return whether a configuration is in force and any upstream is known."""
-        return self.configuration is not None and len(self._fleet) > 0
+        return self.configuration is not None and len(self._upstream_view) > 0
 
     @property
     def is_store_lost(self) -> bool:
@@ -61,18 +68,18 @@
             return False
         routes = self.configuration.routes
         names = {name for route in routes for name in route.services()}
-        return any(not self._fleet.usable(name) for name in names)
+        return any(not self._upstream_view.usable(name) for name in names)
 
     def view_age_ms(self, now_ms: float) -> float | None:
         """Return the maximum age of the view; None before the first read."""
-        return self._fleet.age_ms(now_ms)
+        return self._upstream_view.age_ms(now_ms)
 
     def handle_updates(self, event: PublishedUpdates, now_ms: float) -> None:
         """Apply updates that were read from the store."""
         self._record_answered(now_ms)
-        self._fleet.record_read(now_ms - event.age_ms)
+        self._upstream_view.record_read(now_ms - event.age_ms)
         if event.is_after_outage:
-            self._fleet.record_platform_return(now_ms)
+            self._upstream_view.record_platform_return(now_ms)
         for item in event.updates:
             match item:
                 case ConfigurationSeen(configuration=configuration):
@@ -82,9 +89,9 @@
                 case UpstreamWithdrawn(upstream_id=upstream_id):
                     self._withdraw(upstream_id, now_ms)
                 case EvacuationSeen(data_centre=name, is_evacuated=True):
-                    self._set_evacuated(self._fleet.evacuated | {name}, now_ms)
+                    self._set_evacuated(self._upstream_view.evacuated | {name}, now_ms)
                 case EvacuationSeen(data_centre=name):
-                    self._set_evacuated(self._fleet.evacuated - {name}, now_ms)
+                    self._set_evacuated(self._upstream_view.evacuated - {name}, now_ms)
         if event.is_snapshot:
             self._drop_missing(event, now_ms)
         if event.updates:
@@ -94,17 +101,19 @@
         """Record that the store does not answer; the state read last stays in force."""
         if self._lost_since_ms is None:
             self._lost_since_ms = now_ms
-            self._log("store_lost", {"detail": detail, "upstreams": len(self._fleet)}, "warning")
+            self._log(
+                "store_lost", {"detail": detail, "upstreams": len(self._upstream_view)}, "warning"
+            )
 
     def expire(self, now_ms: float) -> None:
         """Remove the upstreams whose entries lapsed and did not come back."""
-        for upstream_id in self._fleet.expire(now_ms):
+        for upstream_id in self._upstream_view.expire(now_ms):
             self._chooser.forget(upstream_id)
             self._log("upstream_left", {"upstream": upstream_id, "cause": "lapsed"})
 
     def next_wake_ms(self) -> float:
         """Return when ``expire`` has to be called."""
-        wake_ms = self._fleet.next_wake_ms()
+        wake_ms = self._upstream_view.next_wake_ms()
         return float("inf") if wake_ms is None else wake_ms
 
     def _record_answered(self, now_ms: float) -> None:
@@ -112,7 +121,7 @@
             # The store may have been unavailable for long before a call failed.
             outage_ms = now_ms - self.answered_ms
             if outage_ms >= LAPSE_OUTAGE_MS:
-                self._fleet.record_platform_return(now_ms)
+                self._upstream_view.record_platform_return(now_ms)
             self._log("store_regained", {"away_ms": round(now_ms - self._lost_since_ms)})
             self._lost_since_ms = None
         self.answered_ms = now_ms
@@ -126,7 +135,7 @@
         self._log("configuration", {"version": found.version, "before": before})
 
     def _apply_upstream(self, record: UpstreamRecord, now_ms: float) -> None:
-        before = self._fleet.put(record)
+        before = self._upstream_view.put(record)
         if before is not None and before.is_same_start(record):
             self._chooser.cold_limiter.record_cold(record.upstream_id, record.cold_left_ms, now_ms)
             if before.is_ready != record.is_ready:
@@ -145,15 +154,15 @@
         self._log("upstream_entered", fields)
 
     def _withdraw(self, upstream_id: str, now_ms: float) -> None:
-        if self._fleet.remove(upstream_id, now_ms):
+        if self._upstream_view.remove(upstream_id, now_ms):
             self._chooser.forget(upstream_id)
             self._log("upstream_left", {"upstream": upstream_id, "cause": "withdrawn"})
 
     def _set_evacuated(self, names: frozenset[str], now_ms: float) -> None:
-        if names == self._fleet.evacuated:
+        if names == self._upstream_view.evacuated:
             return
-        returned = self._fleet.evacuated - names
-        self._fleet.set_evacuated(names)
+        returned = self._upstream_view.evacuated - names
+        self._upstream_view.set_evacuated(names)
         self._mark_returned_cold(returned, now_ms)
         self._log("evacuated", {"data_centres": sorted(names)})
 
@@ -165,8 +174,8 @@
         them.
         """
         services = {} if self.configuration is None else self.configuration.services
-        for upstream_id in self._fleet.ids() if data_centres else ():
-            record = self._fleet.get(upstream_id)
+        for upstream_id in self._upstream_view.ids() if data_centres else ():
+            record = self._upstream_view.get(upstream_id)
             service = services.get(record.service)
             if record.data_centre in data_centres and service is not None:
                 self._chooser.cold_limiter.record_cold(upstream_id, service.cold_ms, now_ms)
@@ -175,7 +184,7 @@
         listed = {
             item.record.upstream_id for item in event.updates if isinstance(item, UpstreamSeen)
         }
-        for upstream_id in self._fleet.ids() - listed:
+        for upstream_id in self._upstream_view.ids() - listed:
             self._withdraw(upstream_id, now_ms)
         evacuated = frozenset(
             item.data_centre
@@ -191,7 +200,7 @@
             "age_ms": round(event.age_ms, 1),
             "is_snapshot": event.is_snapshot,
             "version": None if self.configuration is None else self.configuration.version,
-            "upstreams": len(self._fleet),
+            "upstreams": len(self._upstream_view),
             **Counter(_LOGGED_NAMES[type(item)] for item in event.updates),
         }
         self._log("published", fields)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
@@ -1,7 +1,6 @@
 from collections.abc import Sequence
 from random import Random
 
-from geraniumlead.fleet import FleetView
 from geraniumlead.forwarding.actions import ForwardingAction, LogDecision, SendReply
 from geraniumlead.forwarding.attempt_tracker import AttemptTracker
 from geraniumlead.forwarding.crash_refusal import refuse_crashing
@@ -12,7 +11,7 @@
 from geraniumlead.forwarding.final_reply import decide_reply
 from geraniumlead.forwarding.forwarded_request import ForwardedRequest
 from geraniumlead.forwarding.open_request import OpenRequest, Subrequest
-from geraniumlead.forwarding.own_delay import OwnDelay
+from geraniumlead.forwarding.processing_delay import ProcessingDelay
 from geraniumlead.forwarding.request_log import describe_request
 from geraniumlead.forwarding.request_services import RequestServices
 from geraniumlead.forwarding.results import AttemptResult
@@ -22,6 +21,7 @@
 from geraniumlead.forwarding.waiting_subrequests import MAX_WAIT_GOAL_SHARE
 from geraniumlead.forwarding.wake_times import NEVER_MS, WakeTimes
 from geraniumlead.peering import DelegatedReply, PeerDirectory
+from geraniumlead.published_upstreams import UpstreamView
 from geraniumlead.routes import PublishedConfiguration, Route
 from geraniumlead.settings.forwarding_settings import ForwardingSettings
 
@@ -36,22 +36,22 @@
 
     __slots__ = (
         "_actions",
-        "_fleet",
         "_open",
         "_retry_after",
         "_sender",
         "_services",
         "_tracker",
+        "_upstream_view",
         "_wakes",
         "crashes",
         "delegated",
-        "own_delay",
+        "processing_delay",
     )
 
     def __init__(
         self,
         settings: ForwardingSettings,
-        fleet: FleetView,
+        upstream_view: UpstreamView,
         random: Random,
         retry_after: RetryAfter,
         actions: list[ForwardingAction],
@@ -59,16 +59,16 @@
     ) -> None:
         self._retry_after = retry_after
         self._actions = actions
-        self._fleet = fleet
-        self._tracker = AttemptTracker(settings, fleet, random, actions)
+        self._upstream_view = upstream_view
+        self._tracker = AttemptTracker(settings, upstream_view, random, actions)
         self.crashes = CrashTracker()
         self._sender = SubrequestSender(self._tracker, self.crashes)
-        plan = DelegationPlanner(settings, fleet, directory, random)
+        plan = DelegationPlanner(settings, upstream_view, directory, random)
         self.delegated = DelegatedSubrequests(plan, self._sender, actions, directory.own_contact)
         self._open: dict[int, OpenRequest] = {}
         self._wakes = WakeTimes()
         self._services = RequestServices(random)
-        self.own_delay = OwnDelay()
+        self.processing_delay = ProcessingDelay()
 
     def __len__(self) -> int:
         """Return the number of open requests."""
@@ -105,9 +105,9 @@
             self._actions += refuse_crashing(request, route)
             return
         services = self._services.of_request(request, route)
-        margin_ms = self.own_delay.margin_ms(route.latency_goal_ms, len(services), now_ms)
+        margin_ms = self.processing_delay.margin_ms(route.latency_goal_ms, len(services), now_ms)
         goal_ms, end_ms = self._tracker.lateness.deadlines_of(request, route, margin_ms)
-        view_age_ms = self._fleet.age_ms(now_ms)
+        view_age_ms = self._upstream_view.age_ms(now_ms)
         opened = OpenRequest(request, route, configuration, goal_ms, end_ms, margin_ms, view_age_ms)
         opened.subrequests = [Subrequest(opened, service) for service in services]
         self._open[request.key] = opened
@@ -158,11 +158,11 @@
             self._schedule_subrequest_check(subrequest, now_ms)
         self._send_waiting(subrequest.service, now_ms)
 
-    def mark_shared(self, key: int) -> None:
+    def mark_hedged(self, key: int) -> None:
         """Record that the peer that delegated a request queries its shards as well."""
         opened = self._open.get(key)
         if opened is not None:
-            opened.is_shared = True
+            opened.is_hedged = True
 
     def drop(self, key: int, now_ms: float) -> None:
         """Remove a request whose caller disconnected, and cancel all work for it."""
@@ -178,7 +178,7 @@
             opened = self._open.get(key)
             if opened is not None and opened.next_check_ms == due_ms:
                 opened.next_check_ms = NEVER_MS
-                self.own_delay.record_timer(now_ms - due_ms, now_ms)
+                self.processing_delay.record_timer(now_ms - due_ms, now_ms)
                 self._check(opened, now_ms)
 
     def next_wake_ms(self) -> float:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/subrequest_sender.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/subrequest_sender.py
@@ -1,6 +1,5 @@
 from collections.abc import Sequence
 
-from geraniumlead.fleet import UpstreamRecord
 from geraniumlead.forwarding.attempt_tracker import AttemptTracker
 from geraniumlead.forwarding.crash_tracker import CrashTracker
 from geraniumlead.forwarding.open_request import Attempt, OpenRequest, Subrequest
@@ -12,6 +11,7 @@
     PossiblyExecuted,
 )
 from geraniumlead.forwarding.waiting_subrequests import WaitingSubrequests
+from geraniumlead.published_upstreams import UpstreamRecord
 
 NEVER_MS = float("inf")
 
@@ -167,7 +167,7 @@
 
     def hedge_late(self, opened: OpenRequest, now_ms: float) -> None:
         """Hedge the subrequests whose only attempt is late."""
-        if opened.is_shared:
+        if opened.is_hedged:
             return
         for subrequest in opened.subrequests:
             if subrequest.is_settled or len(subrequest.open_attempts) != 1:
@@ -222,7 +222,7 @@
             is_repeatable = False
         if is_repeatable and now_ms < opened.end_ms:
             is_free = isinstance(result, NotReached)
-            if opened.is_shared and not is_free:
+            if opened.is_hedged and not is_free:
                 why = f"{why}, asked elsewhere"
             elif is_free or self._tracker.budgets.may_retry(subrequest.service, now_ms):
                 upstream = self._tracker.choose(subrequest, now_ms)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/updates.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/updates.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from geraniumlead.fleet import UpstreamRecord
+from geraniumlead.published_upstreams import UpstreamRecord
 from geraniumlead.routes import PublishedConfiguration
 
 
--- a/packages/geraniumlead/src/geraniumlead/forwarding/upstream_chooser.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/upstream_chooser.py
@@ -1,10 +1,10 @@
 from collections.abc import Collection, Sequence
 from random import Random
 
-from geraniumlead.fleet import FleetView, UpstreamRecord
 from geraniumlead.forwarding.cold_rate_limiter import ColdRateLimiter
 from geraniumlead.forwarding.relative_rtts import RelativeRtts
 from geraniumlead.forwarding.upstream_estimate import UpstreamEstimate
+from geraniumlead.published_upstreams import UpstreamRecord, UpstreamView
 from geraniumlead.routes import Route, UpstreamService
 from geraniumlead.settings.forwarding_settings import ForwardingSettings
 
@@ -36,24 +36,24 @@
 
     __slots__ = (
         "_estimates",
-        "_fleet",
         "_instance_count",
         "_random",
         "_relative_rtts",
         "_settings",
+        "_upstream_view",
         "cold_limiter",
     )
 
     def __init__(
         self,
         settings: ForwardingSettings,
-        fleet: FleetView,
+        upstream_view: UpstreamView,
         relative_rtts: RelativeRtts,
         random: Random,
     ) -> None:
         self._settings = settings
         self._relative_rtts = relative_rtts
-        self._fleet = fleet
+        self._upstream_view = upstream_view
         self._random = random
         self._instance_count = 1
         self._estimates: dict[str, UpstreamEstimate] = {}
@@ -100,7 +100,7 @@
         """
         rtts_ms = [
             self._relative_rtts.relative_rtt_ms(record.data_centre)
-            for record in self._fleet.usable(service)
+            for record in self._upstream_view.usable(service)
             if record.upstream_id != first.upstream_id
         ]
         return min(rtts_ms, default=first_relative_rtt_ms)
@@ -113,7 +113,7 @@
             record.upstream_id not in tried
             and self._is_allowed(route, record)
             and now_ms >= self.estimate_of(record.upstream_id).excluded_until_ms
-            for record in self._fleet.usable(service)
+            for record in self._upstream_view.usable(service)
         )
 
     def choose(
@@ -132,7 +132,7 @@
         """
         max_in_flight = self._max_in_flight(service)
         best, best_ms = None, float("inf")
-        for record in self._fleet.usable(service.name):
+        for record in self._upstream_view.usable(service.name):
             estimate = self.estimate_of(record.upstream_id)
             if record.upstream_id in tried or estimate.in_flight >= max_in_flight:
                 continue
--- a/packages/geraniumlead/src/geraniumlead/instance/batcher.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/batcher.py
@@ -1,4 +1,4 @@
-from geraniumlead.peers.messages import (
+from geraniumlead.peer_messages.messages import (
     CancelBatch,
     PeerMessage,
     SubqueryBatch,
--- a/packages/geraniumlead/src/geraniumlead/instance/call_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/call_handler.py
@@ -5,7 +5,7 @@
 from geraniumlead.events import UpstreamAnswered
 from geraniumlead.instance.held_steps import HeldSteps
 from geraniumlead.instance.parts import InstanceParts
-from geraniumlead.peers import (
+from geraniumlead.peer_messages import (
     Goodbye,
     SubqueryBatch,
     SubqueryResult,
--- a/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
@@ -6,7 +6,7 @@
 from geraniumlead.instance.parts import InstanceParts
 from geraniumlead.membership import PlatformFreshness
 from geraniumlead.ownership import OwnerTable
-from geraniumlead.peers import (
+from geraniumlead.peer_messages import (
     ANY_NONCE,
     DocumentsRequest,
     DocumentsUpdate,
@@ -33,10 +33,10 @@
 
     __slots__ = (
         "_calls",
-        "_divergence",
+        "_divergence_detector",
         "_owners",
         "_parts",
-        "_questions",
+        "_request_limiter",
         "_reread_ms",
         "contact",
         "is_watching",
@@ -45,9 +45,9 @@
     def __init__(self, parts: InstanceParts, calls: CallHandler) -> None:
         self._parts = parts
         self._calls = calls
-        self._divergence = DivergenceDetector()
+        self._divergence_detector = DivergenceDetector()
         self._owners = OwnerTable(parts.store.view)
-        self._questions = DocumentRequestLimiter()
+        self._request_limiter = DocumentRequestLimiter()
         self._reread_ms = float("-inf")
         self.contact = PlatformFreshness(parts.random)
         self.is_watching = False
@@ -114,7 +114,7 @@
 
     def request_documents(self, peer_id: str, revision: int, now_ms: float) -> None:
         """Request the documents up to a peer's revision, unless they were requested just now."""
-        if self._questions.may_request(self._parts.store.revision, revision, now_ms):
+        if self._request_limiter.may_request(self._parts.store.revision, revision, now_ms):
             self._parts.send(peer_id, DocumentsRequest(self._parts.store.revision))
 
     def send_documents(self, sender_id: str, message: DocumentsRequest) -> None:
@@ -147,7 +147,7 @@
             self.contact.record_relayed_age(heartbeat.platform_age_ms, now_ms)
         if heartbeat.revision != store.revision:
             return
-        if self._divergence.should_request_all(store.digest, heartbeat.digest, now_ms):
+        if self._divergence_detector.should_request_all(store.digest, heartbeat.digest, now_ms):
             fields = {"peer": sender_id, "revision": store.revision}
             parts.actions.append(Report("configuration_diverged", fields, "error"))
             parts.send(sender_id, DocumentsRequest(ALL_REVISIONS))
--- a/packages/geraniumlead/src/geraniumlead/instance/freshness_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/freshness_handler.py
@@ -4,7 +4,7 @@
 from geraniumlead.instance.configuration_handler import ConfigurationHandler
 from geraniumlead.instance.parts import InstanceParts
 from geraniumlead.instance.request_handler import RequestHandler
-from geraniumlead.peers import Probe, ProbeReply
+from geraniumlead.peer_messages import Probe, ProbeReply
 
 LOCAL_PROBES = 3
 REMOTE_PROBES = 2
--- a/packages/geraniumlead/src/geraniumlead/instance/heartbeat_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/heartbeat_handler.py
@@ -2,7 +2,7 @@
 
 from geraniumlead.admission import EVERY_PEER
 from geraniumlead.instance.parts import InstanceParts
-from geraniumlead.peers import ANY_NONCE, Heartbeat, Probe
+from geraniumlead.peer_messages import ANY_NONCE, Heartbeat, Probe
 
 MAX_INDIVIDUAL_REPORTS = 16
 """Peers that get a heartbeat because a share is lent to them, in addition to those whose turn
--- a/packages/geraniumlead/src/geraniumlead/instance/instance.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/instance.py
@@ -23,7 +23,7 @@
 from geraniumlead.instance.status import InstanceStatus
 from geraniumlead.instance.stop_handler import StopHandler
 from geraniumlead.instance.upstream_report import report_services, report_upstreams
-from geraniumlead.peers import (
+from geraniumlead.peer_messages import (
     CancelBatch,
     DocumentsRequest,
     DocumentsUpdate,
--- a/packages/geraniumlead/src/geraniumlead/instance/parts.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/parts.py
@@ -12,7 +12,7 @@
 from geraniumlead.instance.lifecycle import Lifecycle
 from geraniumlead.instance.ticket_handler import TicketHandler
 from geraniumlead.membership import Membership
-from geraniumlead.peers import PeerMessage
+from geraniumlead.peer_messages import PeerMessage
 from geraniumlead.quarantine import CanaryPlanner, QuarantineTracker
 from geraniumlead.routing import Router
 from geraniumlead.settings import InstanceSettings
--- a/packages/geraniumlead/src/geraniumlead/instance/quarantine_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/quarantine_handler.py
@@ -1,5 +1,5 @@
 from geraniumlead.instance.parts import InstanceParts
-from geraniumlead.peers import QuarantineNotice
+from geraniumlead.peer_messages import QuarantineNotice
 from geraniumlead.quarantine import compute_fingerprint
 from geraniumlead.requests import CallerRequest, NotRun, RefusalReason
 
--- a/packages/geraniumlead/src/geraniumlead/instance/request_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/request_handler.py
@@ -5,7 +5,7 @@
 from geraniumlead.instance.call_handler import CallHandler
 from geraniumlead.instance.parts import InstanceParts
 from geraniumlead.instance.quarantine_handler import QuarantineHandler
-from geraniumlead.peers import TicketedAnswer, TicketedRequest
+from geraniumlead.peer_messages import TicketedAnswer, TicketedRequest
 from geraniumlead.planning import plan_query
 from geraniumlead.requests import CallerRequest, NotRun, RefusalReason
 
--- a/packages/geraniumlead/src/geraniumlead/instance/stop_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/stop_handler.py
@@ -2,7 +2,7 @@
 from geraniumlead.instance.call_handler import CallHandler
 from geraniumlead.instance.parts import InstanceParts
 from geraniumlead.instance.request_handler import RequestHandler
-from geraniumlead.peers import Goodbye
+from geraniumlead.peer_messages import Goodbye
 
 
 class StopHandler:
--- a/packages/geraniumlead/src/geraniumlead/instance/ticket_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/ticket_handler.py
@@ -1,6 +1,6 @@
 from random import Random
 
-from geraniumlead.peers.messages import TicketedAnswer, TicketedRequest
+from geraniumlead.peer_messages.messages import TicketedAnswer, TicketedRequest
 from geraniumlead.requests.caller_request import CallerRequest
 from geraniumlead.requests.outcome_codec import decode_outcome, encode_outcome
 from geraniumlead.requests.outcomes import Outcome, Unknown
--- a/packages/geraniumlead/src/geraniumlead/membership/membership.py
+++ b/packages/geraniumlead/src/geraniumlead/membership/membership.py
@@ -4,7 +4,7 @@
 from geraniumlead.hashing import rank_by_rendezvous
 from geraniumlead.heartbeats import HeartbeatRotation
 from geraniumlead.membership.peer import Peer
-from geraniumlead.peers.messages import Goodbye, Heartbeat
+from geraniumlead.peer_messages.messages import Goodbye, Heartbeat
 
 WATCHERS_PER_DATA_CENTRE = 2
 """Instances of a data centre that watch the platform, so that any one of them may fail."""
--- a/packages/geraniumlead/src/geraniumlead/peers/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/peer_messages/__init__.py
@@ -1,7 +1,7 @@
 """Messages between the instances of a published list, and their codec."""
 
-from geraniumlead.peers.codec import decode_message, encode_message
-from geraniumlead.peers.messages import (
+from geraniumlead.peer_messages.codec import decode_message, encode_message
+from geraniumlead.peer_messages.messages import (
     ANY_NONCE,
     CancelBatch,
     ContractDemand,
--- a/packages/geraniumlead/src/geraniumlead/peers/codec.py
+++ b/packages/geraniumlead/src/geraniumlead/peer_messages/codec.py
@@ -3,7 +3,7 @@
 from msgspec import DecodeError, ValidationError
 from msgspec.msgpack import Decoder, Encoder
 
-from geraniumlead.peers.messages import PeerMessage
+from geraniumlead.peer_messages.messages import PeerMessage
 
 _ENCODER = Encoder()
 _DECODER = Decoder(PeerMessage)
--- a/packages/geraniumlead/src/geraniumlead/fleet/fleet_view.py
+++ b/packages/geraniumlead/src/geraniumlead/published_upstreams/upstream_view.py
@@ -1,11 +1,11 @@
-from geraniumlead.fleet.upstream_record import UpstreamRecord
+from geraniumlead.published_upstreams.upstream_record import UpstreamRecord
 
 LAPSE_HOLD_MS = 2_200.0
 """Time for which removals are delayed after an outage of the store; live upstreams publish their
 entries again within 2 s of its return."""
 
 
-class FleetView:
+class UpstreamView:
     """The known upstreams, and which of them may be used for each service.
 
     Failure: while the platform's store is unavailable, upstreams cannot renew their entries, and
--- a/packages/geraniumlead/src/geraniumlead/routing/router.py
+++ b/packages/geraniumlead/src/geraniumlead/routing/router.py
@@ -113,11 +113,11 @@
         tried: Collection[str],
         now_ms: float,
         long_running: bool = False,
-        only_good: bool = False,
+        skip_avoided: bool = False,
     ) -> Route | None:
         """Return the best route to one of ``replicas`` that was not tried, or None.
 
-        With ``only_good`` there is no fallback to replicas that are avoided or known to be cold.
+        With ``skip_avoided`` there is no fallback to replicas that are avoided or known to be cold.
         """
         group = self._group_of(replicas)
         for tier in group.tiers:
@@ -139,7 +139,7 @@
                     return route
                 if replica in candidates:
                     candidates.remove(replica)
-        if only_good:
+        if skip_avoided:
             return None
         return self._choose_fallback(group, tried, now_ms, long_running)
 
--- a/packages/geraniumlead/src/geraniumlead/tail/straggler_detector.py
+++ b/packages/geraniumlead/src/geraniumlead/tail_latency/straggler_detector.py
@@ -1,4 +1,4 @@
-from geraniumlead.tail.latency_window import MIN_SAMPLES, LatencyWindow
+from geraniumlead.tail_latency.latency_window import MIN_SAMPLES, LatencyWindow
 
 MIN_DELAY_MS = 1.0
 GIVE_UP_QUANTILE = 0.999
--- a/packages/geraniumlead/tests/core_tests/forwarding/builders.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/builders.py
@@ -1,6 +1,5 @@
 """Builders of routes, upstreams, requests and answers for the forwarding tests."""
 
-from geraniumlead.fleet import UpstreamRecord
 from geraniumlead.forwarding import (
     Completed,
     ConfigurationSeen,
@@ -9,6 +8,7 @@
     PublishedUpdates,
     UpstreamSeen,
 )
+from geraniumlead.published_upstreams import UpstreamRecord
 from geraniumlead.routes import (
     FanOut,
     OneService,
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_own_delay.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_processing_delay.py
@@ -11,41 +11,41 @@
 )
 from core_tests.forwarding.harness import ForwarderHarness
 from geraniumlead.forwarding import ReplyWritten, TimePassed
-from geraniumlead.forwarding.own_delay import (
+from geraniumlead.forwarding.processing_delay import (
     MAX_MARGIN_GOAL_SHARE,
     MIN_MARGIN_MS,
     MIN_SAMPLES,
     SUBREQUEST_MARGIN_MS,
-    OwnDelay,
+    ProcessingDelay,
 )
 
 GOAL_MS = 300.0
 
 
-class OwnDelayTests(TestCase):
+class ProcessingDelayTests(TestCase):
     def test_the_minimum_margin_applies_without_samples(self):
-        self.assertEqual(MIN_MARGIN_MS, OwnDelay().margin_ms(GOAL_MS, 0, 0.0))
+        self.assertEqual(MIN_MARGIN_MS, ProcessingDelay().margin_ms(GOAL_MS, 0, 0.0))
 
     def test_each_subrequest_of_a_query_increases_the_margin(self):
         """Ninety subrequests share a slow link, and a reply that was sent in time arrived late."""
-        few, many = (OwnDelay().margin_ms(GOAL_MS, parts, 0.0) for parts in (20, 90))
+        few, many = (ProcessingDelay().margin_ms(GOAL_MS, parts, 0.0) for parts in (20, 90))
         self.assertAlmostEqual(70 * SUBREQUEST_MARGIN_MS, many - few)
 
     def test_late_timers_and_slow_writing_add_up(self):
-        delay = OwnDelay()
+        delay = ProcessingDelay()
         for _ in range(MIN_SAMPLES):
             delay.record_timer(12.0, 0.0)
             delay.record_write(8.0, 0.0)
         self.assertAlmostEqual(20.0, delay.margin_ms(GOAL_MS, 0, 100.0), delta=0.5)
 
     def test_the_margin_is_limited_to_a_share_of_the_goal(self):
-        delay = OwnDelay()
+        delay = ProcessingDelay()
         for _ in range(MIN_SAMPLES):
             delay.record_timer(500.0, 0.0)
         self.assertEqual(MAX_MARGIN_GOAL_SHARE * GOAL_MS, delay.margin_ms(GOAL_MS, 0, 100.0))
 
     def test_old_delays_are_discarded(self):
-        delay = OwnDelay()
+        delay = ProcessingDelay()
         for _ in range(MIN_SAMPLES):
             delay.record_timer(30.0, 0.0)
         for second in range(1, 13):
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_upstream_chooser.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_upstream_chooser.py
@@ -5,10 +5,10 @@
 from unittest import TestCase
 
 from core_tests.forwarding.builders import build_record, build_route, build_settings
-from geraniumlead.fleet import FleetView
 from geraniumlead.forwarding.relative_rtts import RelativeRtts
 from geraniumlead.forwarding.upstream_chooser import UpstreamChooser
 from geraniumlead.forwarding.upstream_estimate import MAX_AVOID_MS, UpstreamEstimate
+from geraniumlead.published_upstreams import UpstreamView
 from geraniumlead.routes import UpstreamService
 
 SERVICE = UpstreamService("reader", 26, 0.0)
@@ -17,15 +17,15 @@
 
 class UpstreamChooserTests(TestCase):
     def setUp(self):
-        self.fleet = FleetView()
+        self.upstream_view = UpstreamView()
         settings = build_settings()
         self.relative_rtts = RelativeRtts(settings)
-        self.chooser = UpstreamChooser(settings, self.fleet, self.relative_rtts, Random(3))
+        self.chooser = UpstreamChooser(settings, self.upstream_view, self.relative_rtts, Random(3))
         self.chooser.set_instances(7, ())
 
     def add(self, *names: str, **changes) -> None:
         for name in names:
-            self.fleet.put(build_record(name, **changes))
+            self.upstream_view.put(build_record(name, **changes))
 
     def choose(self, now_ms: float = 0.0, tried=(), skip_avoided: bool = False) -> str | None:
         found = self.chooser.choose(
@@ -97,7 +97,7 @@
     def test_a_draining_or_evacuated_upstream_gets_nothing(self):
         self.add("drains", is_ready=False)
         self.add("elsewhere", data_centre="zuid-a")
-        self.fleet.set_evacuated(frozenset({"zuid-a"}))
+        self.upstream_view.set_evacuated(frozenset({"zuid-a"}))
         self.assertIsNone(self.choose())
 
 
--- a/packages/geraniumlead/tests/core_tests/membership/test_membership.py
+++ b/packages/geraniumlead/tests/core_tests/membership/test_membership.py
@@ -7,7 +7,7 @@
 from geraniumlead.configuration import ClusterView
 from geraniumlead.membership import Membership
 from geraniumlead.membership.membership import LOCAL_PEERS_PER_HEARTBEAT, PROBES_PER_HEARTBEAT
-from geraniumlead.peers import Goodbye, Heartbeat
+from geraniumlead.peer_messages import Goodbye, Heartbeat
 
 TIMEOUT_MS = 2_500.0
 INTERVAL_MS = 500.0
--- a/packages/geraniumlead/tests/core_tests/routing/test_router.py
+++ b/packages/geraniumlead/tests/core_tests/routing/test_router.py
@@ -13,7 +13,7 @@
 from geraniumlead.hashing import rank_by_rendezvous
 from geraniumlead.membership import Membership
 from geraniumlead.ownership import OwnerTable
-from geraniumlead.peers import Heartbeat
+from geraniumlead.peer_messages import Heartbeat
 from geraniumlead.routing import Router
 from geraniumlead.routing.router import BUSY_IN_FLIGHT
 from geraniumlead.settings import TimingSettings
--- a/packages/geraniumlead/tests/core_tests/tail/test_latency_window.py
+++ b/packages/geraniumlead/tests/core_tests/tail_latency/test_latency_window.py
@@ -2,8 +2,8 @@
 
 from unittest import TestCase
 
-from geraniumlead.tail import LatencyWindow, StragglerDetector
-from geraniumlead.tail.latency_window import MIN_SAMPLES, WINDOW_MS
+from geraniumlead.tail_latency import LatencyWindow, StragglerDetector
+from geraniumlead.tail_latency.latency_window import MIN_SAMPLES, WINDOW_MS
 
 
 def feed(window: LatencyWindow, latency_ms: float, start_ms: float, for_ms: float) -> float:
@@ -37,8 +37,8 @@
         self.assertIsNone(window.quantile_ms(0.5, 3.0 * WINDOW_MS))
 
     def test_hedge_delay_leaves_just_the_budget_above_it(self):
-        clock = StragglerDetector()
+        detector = StragglerDetector()
         for number in range(1_000):
-            clock.record("ledger", 1.0 + number / 100.0, 0.0)
-        self.assertAlmostEqual(10.8, clock.delay_ms("ledger", 0.02, 100.0), delta=0.2)
-        self.assertIsNone(clock.delay_ms("archive", 0.02, 100.0))
+            detector.record("ledger", 1.0 + number / 100.0, 0.0)
+        self.assertAlmostEqual(10.8, detector.delay_ms("ledger", 0.02, 100.0), delta=0.2)
+        self.assertIsNone(detector.delay_ms("archive", 0.02, 100.0))
