--- a/packages/geraniumlead/src/geraniumlead/coordination/extra_subquery_budget.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/extra_subquery_budget.py
@@ -5,8 +5,8 @@
 class ExtraSubqueryBudget:
     """Limits extra subqueries of a contract's traffic class to a share of its first subqueries.
 
-    When an upstream fails or sheds load, each refused subquery is retried. Without a budget,
-    the retries multiply the load when capacity is lowest. The balance is capped so that
+    Load pattern: an upstream fails or sheds load, and each refused subquery is retried. Without a
+    budget, the retries multiply the load when capacity is lowest. The balance is capped so that
     credit from a long quiet period cannot cause a retry storm.
     """
 
--- a/packages/geraniumlead/src/geraniumlead/coordination/straggler_monitor.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/straggler_monitor.py
@@ -36,8 +36,8 @@
     ) -> bool:
         """Let a shard wait for a replica; return False if the deadline would come first.
 
-        All replicas of a shard may briefly be cold, leaving or restarting. Without parking, the
-        query would give up the shard in the first millisecond.
+        Load pattern: all replicas of a shard are briefly cold, leaving or restarting. Without
+        parking, the query would give up the shard in the first millisecond.
         """
         wait_ms = min(MAX_PARK_MS, INITIAL_PARK_MS * 2**shard.parked_count)
         if not shard.plan.replicas or now_ms + wait_ms >= query.request.deadline_ms:
--- a/packages/geraniumlead/src/geraniumlead/freshness/view_freshness.py
+++ b/packages/geraniumlead/src/geraniumlead/freshness/view_freshness.py
@@ -22,14 +22,15 @@
 class ViewFreshness:
     """Decides whether new work may be sent based on the current view.
 
-    The view is confirmed, being confirmed, or used without confirmation. A process can be
-    paused for seconds (a paused virtual machine, a stopped process) and resume with requests
-    and timers that are due. Without this check it would immediately send by its old view: to
-    a data centre that was taken out, to an upstream that is leaving, or to a cold upstream
-    whose slot another owner now holds. A pause is detected by a gap between two calls of
-    ``detect_pause`` that is far longer than the heartbeat interval. Only responses that were
-    requested after the process resumed confirm the view: data that the sockets buffered during
-    the pause may be as old as the pause itself, so probes carry a nonce and reads a number.
+    The view is confirmed, being confirmed, or used without confirmation.
+
+    Load pattern: a process is paused for seconds (a paused virtual machine, a stopped process)
+    and resumes with requests and timers that are due. Without this check it would immediately
+    send by its old view: to a data centre that was taken out, to an upstream that is leaving, or
+    to a cold upstream whose slot another owner now holds. A pause is detected by a gap between two
+    calls of ``detect_pause`` that is far longer than the heartbeat interval. Only responses that
+    were requested after the process resumed confirm the view: data that the sockets buffered
+    during the pause may be as old as the pause itself, so probes carry a nonce and reads a number.
 
     The same applies at process start, where the platform's first response may be stale.
     """
--- a/packages/geraniumlead/src/geraniumlead/tickets/ticket_registry.py
+++ b/packages/geraniumlead/src/geraniumlead/tickets/ticket_registry.py
@@ -21,9 +21,9 @@
 class TicketRegistry:
     """Issues tickets and lets the request of each ticket run at most once.
 
-    When an answer is late, callers repeat a booking at this or another instance. Without the
-    registry each arrival would run, and a member would be charged twice. The registry is
-    neither shared nor stored: only the incarnation that issued a ticket runs its request, from
+    Load pattern: when an answer is late, callers repeat a booking at this or another instance.
+    Without the registry each arrival would run, and a member would be charged twice. The registry
+    is neither shared nor stored: only the incarnation that issued a ticket runs its request, from
     its own memory, so even a stale list of instances cannot let a second instance run it.
     """
 
