--- a/packages/geraniumlead/src/geraniumlead/documents/contract.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/contract.py
@@ -11,12 +11,13 @@
 
 
 class ContractDocument(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Limit one customer's traffic; every limit on the customer follows from here.
+    """The limits of one customer's traffic; all limits on the customer are derived from them.
 
-    ``rate_per_s`` and ``burst_requests`` form a token bucket for the whole fleet,
-    ``concurrent_requests`` bounds the requests being served at once in the whole fleet.
-    ``valid_from`` and ``valid_until`` are RFC 3339 instants; outside them all is refused.
-    ``credentials_sha256`` are digests of the bearer tokens that tie a caller to the contract.
+    ``rate_per_s`` and ``burst_requests`` are the parameters of a token bucket for the whole fleet,
+    ``concurrent_requests`` limits the requests that the whole fleet serves at the same time.
+    ``valid_from`` and ``valid_until`` are RFC 3339 timestamps; before and after them every request
+    is refused. ``credentials_sha256`` are the SHA-256 digests of the bearer tokens that identify a
+    caller as the customer.
     """
 
     customer: Name
--- a/packages/geraniumlead/src/geraniumlead/documents/data_centre.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/data_centre.py
@@ -8,7 +8,7 @@
 
 
 class DataCentreDocument(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Name a data centre, its region, and whether operators have taken it out."""
+    """A data centre, its region, and whether operators have taken it out of service."""
 
     name: Name
     region: Name
--- a/packages/geraniumlead/src/geraniumlead/documents/index.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/index.py
@@ -10,10 +10,10 @@
 
 
 class IndexDocument(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Map the shards of one index version of one service to upstreams.
+    """The upstreams that hold each shard of one index version of one service.
 
-    Shards are numbered from 0 without gaps, so that a key's shard is its hash modulo
-    their number.
+    Shards are numbered from 0 without gaps: the shard of a key is its hash modulo the number of
+    shards.
     """
 
     service: Name
--- a/packages/geraniumlead/src/geraniumlead/documents/instance_entry.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/instance_entry.py
@@ -9,9 +9,9 @@
 
 
 class InstanceEntry(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Name an instance, where its peers reach it, and whether it is leaving.
+    """An instance, the address at which its peers reach it, and whether it is leaving.
 
-    ``peer_public_key`` is the Z85 text of its CURVE key; empty where peers run without keys.
+    ``peer_public_key`` is its CURVE public key in Z85 encoding; empty if peers run without keys.
     """
 
     instance_id: Name
--- a/packages/geraniumlead/src/geraniumlead/documents/traffic_class.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/traffic_class.py
@@ -9,13 +9,14 @@
 
 
 class TrafficClass(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Say how requests of one class are served.
+    """How requests of one class are served.
 
-    ``priority`` 0 goes first. ``deadline_ms`` bounds the time a caller waits; a request may
-    ask for less. ``least_coverage`` is the share of shards below which an answer is a failure.
-    ``waits_for_all`` classes use the whole deadline for missing shards; the others may end
-    early with a partial answer. ``hedge_share`` and ``retry_share`` bound the extra subqueries
-    as a share of the first ones. ``long_running`` requests never take the last slots.
+    ``priority`` 0 is served first. ``deadline_ms`` is the longest time that a caller waits; a
+    request may set a shorter one. With answers from a smaller share of the shards than
+    ``least_coverage``, a request fails. A class with ``waits_for_all`` waits for missing shards
+    until the deadline; others may end early with a partial answer. ``hedge_share`` and
+    ``retry_share`` limit hedges and retries to a share of the first subqueries. ``long_running``
+    requests never occupy the last slots of an upstream.
     """
 
     name: Name
--- a/packages/geraniumlead/src/geraniumlead/documents/upstream_entry.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/upstream_entry.py
@@ -9,10 +9,10 @@
 
 
 class UpstreamEntry(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Describe one upstream: where it listens and what it can bear.
+    """One upstream: the address on which it listens, and its capacity.
 
-    ``slots`` requests run at once, ``connections`` may be open at once for all instances
-    together, ``cold_allowance`` requests at once are borne while the upstream is cold.
+    It runs ``slots`` requests at the same time. All instances together may open ``connections``
+    connections to it. While it is cold, it can run ``cold_allowance`` requests at the same time.
     """
 
     upstream_id: Name
--- a/packages/geraniumlead/src/geraniumlead/documents/upstream_list.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/upstream_list.py
@@ -10,7 +10,7 @@
 
 
 class UpstreamListDocument(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """List the upstreams of one data centre."""
+    """The upstreams of one data centre."""
 
     data_centre: Name
     upstreams: list[UpstreamEntry]
--- a/packages/geraniumlead/src/geraniumlead/settings/instance_settings.py
+++ b/packages/geraniumlead/src/geraniumlead/settings/instance_settings.py
@@ -14,10 +14,10 @@
 
 
 class InstanceSettings(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Tell one instance who it is, where it listens and where the platform is.
+    """The identity of an instance, its listening addresses, and the addresses of the platform.
 
-    ``peer_secret_key`` and ``peer_public_key`` are the Z85 texts of a CURVE key pair;
-    both empty run peers without keys, which is for development only.
+    ``peer_secret_key`` and ``peer_public_key`` are a CURVE key pair in Z85 encoding. If both are
+    empty, peers run without keys, which is for development only.
     """
 
     instance_id: Name
--- a/packages/geraniumlead/src/geraniumlead/settings/limits.py
+++ b/packages/geraniumlead/src/geraniumlead/settings/limits.py
@@ -6,7 +6,7 @@
 
 
 class LimitSettings(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Bound bodies, open requests and queues of one instance."""
+    """The limits of one instance on request bodies, open and queued requests, and fan-out."""
 
     body_bytes: Annotated[int, Meta(ge=1024, le=16_777_216)] = 65_536
     open_requests: Annotated[int, Meta(ge=1, le=1_000_000)] = 10_000
--- a/packages/geraniumlead/src/geraniumlead/settings/listen.py
+++ b/packages/geraniumlead/src/geraniumlead/settings/listen.py
@@ -8,7 +8,7 @@
 
 
 class ListenSettings(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Name an IP address and port for callers, for operators and for peers."""
+    """The IP addresses and ports for callers, for operators and for peers."""
 
     callers: Address
     operators: Address
--- a/packages/geraniumlead/src/geraniumlead/settings/timing.py
+++ b/packages/geraniumlead/src/geraniumlead/settings/timing.py
@@ -8,13 +8,13 @@
 
 
 class TimingSettings(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Set how often and how long; the defaults suit both users' sizes of today.
+    """Intervals and timeouts; the defaults suit the present sizes of both users' fleets.
 
-    ``list_lag_ms`` is the longest time by which an instance's list of instances lags: the
-    platform's own lag, the way to the instance, and pauses up to ``pause_gap_ms``.
-    ``pause_gap_ms`` is the gap on the monotonic clock that makes a view stale.
-    ``stop_notice_ms`` is how long a stopping instance waits for the balancer to notice.
-    ``stop_bound_ms`` bounds the whole graceful shutdown.
+    ``list_lag_ms`` is the longest time by which an instance's list of instances is out of date:
+    the lag of the platform itself, the transmission to the instance, and pauses of the process of
+    up to ``pause_gap_ms``. ``pause_gap_ms`` is the gap on the monotonic clock after which a view
+    counts as stale. ``stop_notice_ms`` is how long a stopping instance waits for the load balancer
+    to notice. ``stop_bound_ms`` is the time limit of the whole graceful shutdown.
     """
 
     heartbeat_interval_ms: Milliseconds = 500.0
