--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_driver.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_driver.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from geraniumlead.forwarding import (
-    CallerLeft,
+    CallerDisconnected,
     CancelAttempt,
     ForwardedRequest,
     Forwarder,
@@ -78,7 +78,7 @@
     def drop(self, key: int) -> None:
         """Tell that a caller left."""
         if self._waiting.pop(key, None) is not None:
-            self.handle(CallerLeft(key))
+            self.handle(CallerDisconnected(key))
 
     def carry_out_all(self, actions: list[ForwardingAction]) -> None:
         """Carry out actions in their order."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/policies.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/policies.py
@@ -6,7 +6,7 @@
 
 from geraniumlead.cold_start import ColdStartGuard
 from geraniumlead.quarantine import QuarantineTracker
-from geraniumlead.routing import Route, Router
+from geraniumlead.routing import Router, SubqueryRoute
 from geraniumlead.tail_latency import StragglerDetector
 
 
@@ -30,7 +30,7 @@
 
     def choose(
         self, replicas, tried, now_ms, long_running=False, skip_avoided=False
-    ) -> Route | None:
+    ) -> SubqueryRoute | None:
         group = self._group_of(replicas)
         for tier in group.tiers:
             left = [replica for replica in tier if replica.upstream_id not in tried]
--- a/packages/geraniumlead/src/geraniumlead/coordination/call_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/call_tracker.py
@@ -4,8 +4,8 @@
 from geraniumlead.coordination.open_query import OpenQuery
 from geraniumlead.coordination.shard_state import ShardState
 from geraniumlead.coordination.steps import CancelSubquery, CoordinationStep, SendSubquery
-from geraniumlead.routing.route import Route
 from geraniumlead.routing.router import Router
+from geraniumlead.routing.subquery_route import SubqueryRoute
 from geraniumlead.tail_latency.straggler_detector import StragglerDetector
 from geraniumlead.upstreams.answers import Records, UpstreamAnswer
 from geraniumlead.upstreams.subquery import Subquery
@@ -143,7 +143,7 @@
         self,
         query: OpenQuery,
         shard: ShardState,
-        route: Route,
+        route: SubqueryRoute,
         now_ms: float,
         is_probe: bool = False,
     ) -> SendSubquery:
--- a/packages/geraniumlead/src/geraniumlead/coordination/coordinator.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/coordinator.py
@@ -190,7 +190,7 @@
     ) -> list[CoordinationStep]:
         """Send the subqueries of the other shards once the canary shard has answered.
 
-        If the canary shard has no answer, the other shards are not asked: the query may have
+        If the canary shard has no answer, the other shards are not queried: the query may have
         crashed the upstreams here or at another instance.
         """
         canary = query.canary
--- a/packages/geraniumlead/src/geraniumlead/coordination/open_call.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/open_call.py
@@ -2,7 +2,7 @@
 
 from geraniumlead.coordination.open_query import OpenQuery
 from geraniumlead.coordination.shard_state import ShardState
-from geraniumlead.routing.route import Route
+from geraniumlead.routing.subquery_route import SubqueryRoute
 
 
 @dataclass(slots=True)
@@ -11,6 +11,6 @@
 
     query: OpenQuery
     shard: ShardState
-    route: Route
+    route: SubqueryRoute
     sent_ms: float
     is_probe: bool = False
--- a/packages/geraniumlead/src/geraniumlead/coordination/steps.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/steps.py
@@ -4,7 +4,7 @@
 
 from geraniumlead.requests.caller_request import CallerRequest
 from geraniumlead.requests.outcomes import Outcome
-from geraniumlead.routing.route import Route
+from geraniumlead.routing.subquery_route import SubqueryRoute
 from geraniumlead.upstreams.subquery import Subquery
 
 
@@ -13,7 +13,7 @@
     """Send a subquery along its route."""
 
     subquery: Subquery
-    route: Route
+    route: SubqueryRoute
 
 
 @dataclass(slots=True, frozen=True)
@@ -21,7 +21,7 @@
     """Cancel a subquery whose answer is no longer wanted."""
 
     call_id: str
-    route: Route
+    route: SubqueryRoute
 
 
 @dataclass(slots=True, frozen=True)
--- a/packages/geraniumlead/src/geraniumlead/dispatch/steps.py
+++ b/packages/geraniumlead/src/geraniumlead/dispatch/steps.py
@@ -1,4 +1,4 @@
-"""Steps that a dispatcher asks its caller to carry out."""
+"""Steps that the dispatcher returns for its instance to carry out."""
 
 from dataclasses import dataclass
 
--- a/packages/geraniumlead/src/geraniumlead/forwarding/__init__.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/__init__.py
@@ -9,7 +9,7 @@
 )
 from geraniumlead.forwarding.events import (
     AttemptEnded,
-    CallerLeft,
+    CallerDisconnected,
     ForwardingEvent,
     PeerMessageReceived,
     PublishedUpdates,
@@ -39,7 +39,7 @@
 __all__ = [
     "AttemptEnded",
     "AttemptResult",
-    "CallerLeft",
+    "CallerDisconnected",
     "CancelAttempt",
     "Completed",
     "ConfigurationSeen",
--- a/packages/geraniumlead/src/geraniumlead/forwarding/aggregator_chooser.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/aggregator_chooser.py
@@ -30,7 +30,7 @@
 its event loop."""
 
 MAX_HELLO_AGE_MS = 2_000.0
-"""Age up to which a hello tells whether its sender is ready and has a configuration. In a large
+"""Age up to which a hello shows whether its sender is ready and has a configuration. In a large
 fleet hellos are older than that; there, a peer that is not ready declines at once."""
 
 DECLINED_BACKOFF_MS = 1_000.0
--- a/packages/geraniumlead/src/geraniumlead/forwarding/crash_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/crash_tracker.py
@@ -7,8 +7,8 @@
 with the same request and no answer from any of them are no coincidence."""
 
 QUARANTINE_MS = 60_000.0
-"""Time for which a request is refused, which starts anew each time it arrives. The sender is told
-to retry after it; upstreams may have been repaired by then."""
+"""Time for which a request is refused, which starts anew each time it arrives. The refusal
+tells the sender to retry after it; upstreams may have been repaired by then."""
 
 MAX_REQUESTS = 2_000
 """Maximum number of fingerprints kept, the most recent ones; each takes some hundred bytes."""
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegated_subrequests.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegated_subrequests.py
@@ -77,8 +77,8 @@
         """Send subrequests from here as well while the peer may still answer them.
 
         The peer may have sent each of them once, and only its acknowledgement may be late or lost.
-        It is told not to retry any of them: together, both instances would reach more upstreams
-        than the route allows.
+        A message asks it not to retry any of them: together, both instances would reach more
+        upstreams than the route allows.
         """
         missing = [subrequest for subrequest in delegation.subrequests if not subrequest.is_settled]
         if not delegation.is_hedged:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/events.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/events.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerLeft:
+class CallerDisconnected:
     """A caller closed its connection before it received a reply."""
 
     key: int
@@ -75,7 +75,7 @@
 
 ForwardingEvent = (
     RequestArrived
-    | CallerLeft
+    | CallerDisconnected
     | AttemptEnded
     | PublishedUpdates
     | StoreLost
--- a/packages/geraniumlead/src/geraniumlead/forwarding/forwarder.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/forwarder.py
@@ -3,7 +3,7 @@
 from geraniumlead.forwarding.actions import ForwardingAction, LogDecision, SendReply
 from geraniumlead.forwarding.events import (
     AttemptEnded,
-    CallerLeft,
+    CallerDisconnected,
     ForwardingEvent,
     PeerMessageReceived,
     PublishedUpdates,
@@ -91,7 +91,7 @@
         match event:
             case RequestArrived(request=request):
                 self._handle_request(request, now_ms)
-            case CallerLeft(key=key):
+            case CallerDisconnected(key=key):
                 self._runner.drop(key, now_ms)
             case AttemptEnded(attempt_id=attempt_id, result=result):
                 self._runner.finish_attempt(attempt_id, result, now_ms)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
@@ -58,10 +58,10 @@
         match message:
             case Hello():
                 for peer in self.directory.handle_hello(message, now_ms):
-                    greeting = self.directory.create_hello(
+                    hello = self.directory.create_hello(
                         peer, self._configuration_version(), is_ready, now_ms
                     )
-                    self._actions.append(greeting)
+                    self._actions.append(hello)
             case Goodbye():
                 self.directory.handle_goodbye(sender_id, message)
             case DelegatedRequest():
@@ -112,7 +112,7 @@
         return min(self.directory.next_wake_ms(), self._runner.delegated.tracker.next_wake_ms())
 
     def send_goodbye(self, now_ms: float) -> None:
-        """Tell peers that this instance takes no new requests."""
+        """Notify peers that this instance takes no new requests."""
         self._actions += self.directory.create_goodbyes(now_ms)
 
     def address_reply(self, action: ForwardingAction) -> ForwardingAction | None:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
@@ -63,8 +63,8 @@
         self._tracker = AttemptTracker(settings, upstream_view, random, actions)
         self.crashes = CrashTracker()
         self._sender = SubrequestSender(self._tracker, self.crashes)
-        plan = DelegationPlanner(settings, upstream_view, directory, random)
-        self.delegated = DelegatedSubrequests(plan, self._sender, actions, directory.own_contact)
+        planner = DelegationPlanner(settings, upstream_view, directory, random)
+        self.delegated = DelegatedSubrequests(planner, self._sender, actions, directory.own_contact)
         self._open: dict[int, OpenRequest] = {}
         self._wakes = WakeTimes()
         self._services = RequestServices(random)
@@ -114,7 +114,7 @@
         chosen = self._sender.choose_upstreams(opened, now_ms)
         if opened.cannot_succeed:
             self._sender.record_first(opened, now_ms)
-            # Nothing has been sent, so the caller can be told that nothing was executed.
+            # Nothing has been sent, so the reply can state that nothing was executed.
             self._finish(opened, "no_upstream", now_ms)
             return
         if not request.is_delegated and self._tracker.isolation.should_refuse(now_ms):
--- a/packages/geraniumlead/src/geraniumlead/forwarding/request_services.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/request_services.py
@@ -5,7 +5,7 @@
 
 
 class RequestServices:
-    """A resolver of a route's target to the services of one request."""
+    """Resolves a route's target to the services of one request."""
 
     __slots__ = ("_random", "_splits")
 
--- a/packages/geraniumlead/src/geraniumlead/forwarding/subrequest_sender.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/subrequest_sender.py
@@ -21,7 +21,7 @@
 
 
 class SubrequestSender:
-    """A sender that decides whether, when and where subrequests are sent, retried or hedged.
+    """Decides whether, when and where subrequests are sent, retried or hedged.
 
     A subrequest that may have been executed is sent again only if its route is idempotent. Each
     extra attempt is charged to the budget of the service, unless the previous attempt did not
--- a/packages/geraniumlead/src/geraniumlead/instance/call_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/call_handler.py
@@ -14,7 +14,7 @@
     UpstreamNotice,
 )
 from geraniumlead.requests import CallerRequest, Outcome
-from geraniumlead.routing import Route
+from geraniumlead.routing import SubqueryRoute
 from geraniumlead.upstreams import Draining, Shed
 
 STALE_OWNER_RETRY_AFTER_MS = 50.0
@@ -50,7 +50,7 @@
             self._shed_subqueries(sender_id, batch, now_ms)
             return
         if self._parts.lifecycle.is_stopping:
-            # Peers in other data centres are told of the shutdown only when they send work.
+            # Peers in other data centres are notified of the shutdown only when they send work.
             self._parts.send(sender_id, Goodbye(self._parts.incarnation))
         for subquery in batch.subqueries:
             self._peer_calls.add(subquery.call_id)
@@ -70,7 +70,7 @@
             self.run_dispatch(self._parts.dispatcher.cancel(call_id, now_ms), now_ms)
 
     def send_warm_upstreams(self, peer_id: str, now_ms: float) -> None:
-        """Tell a restarted peer which upstreams owned by both instances are known to be warm.
+        """Notify a restarted peer of the warm upstreams that both instances own.
 
         Without this, a replaced instance treats every upstream as unproven, and its callers
         wait for slot holders until each upstream has answered once.
@@ -94,7 +94,7 @@
     def hold_unsent(self, now_ms: float) -> None:
         """Hold the subqueries whose batch had not been sent when the process was paused."""
         for owner_id, subquery in self._parts.batcher.drain_subqueries():
-            route = Route(subquery.upstream_id, owner_id)
+            route = SubqueryRoute(subquery.upstream_id, owner_id)
             self._held.hold_subquery(SendSubquery(subquery, route), now_ms)
 
     def release_held(self, now_ms: float) -> None:
--- a/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
@@ -38,8 +38,8 @@
         "_parts",
         "_request_limiter",
         "_reread_ms",
-        "contact",
         "is_watching",
+        "platform_freshness",
     )
 
     def __init__(self, parts: InstanceParts, calls: CallHandler) -> None:
@@ -49,7 +49,7 @@
         self._owners = OwnerTable(parts.store.view)
         self._request_limiter = DocumentRequestLimiter()
         self._reread_ms = float("-inf")
-        self.contact = PlatformFreshness(parts.random)
+        self.platform_freshness = PlatformFreshness(parts.random)
         self.is_watching = False
 
     def start(self) -> None:
@@ -63,9 +63,9 @@
         self._parts.actions.append(ReadPlatform(watch=self.is_watching, read_number=number))
 
     def read_if_updates_stopped(self, now_ms: float) -> None:
-        """Read the platform if neither a watcher nor a peer has recently heard from it."""
+        """Read the platform if no watcher or peer has recently received an answer from it."""
         local = 1 + len(self._parts.membership.local_peers())
-        if self.contact.should_read(self.is_watching, local, now_ms):
+        if self.platform_freshness.should_read(self.is_watching, local, now_ms):
             self.read_platform()
 
     def handle_documents(self, event: DocumentsReceived, now_ms: float) -> None:
@@ -84,7 +84,7 @@
         elif event.revision > store.revision:
             self._reread(now_ms)
         else:
-            self.contact.record_heard(now_ms)
+            self.platform_freshness.record_answer(now_ms)
 
     def handle_read_failure(self, event: PlatformReadFailed) -> None:
         """Log that a read of the platform failed; the documents in force do not change."""
@@ -144,7 +144,7 @@
             return
         # The platform age is valid only together with the revision that was read at that time.
         if heartbeat.platform_age_ms is not None:
-            self.contact.record_relayed_age(heartbeat.platform_age_ms, now_ms)
+            self.platform_freshness.record_relayed_age(heartbeat.platform_age_ms, now_ms)
         if heartbeat.revision != store.revision:
             return
         if self._divergence_detector.should_request_all(store.digest, heartbeat.digest, now_ms):
--- a/packages/geraniumlead/src/geraniumlead/instance/held_steps.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/held_steps.py
@@ -37,12 +37,12 @@
 
     def drain_subqueries(self, now_ms: float) -> list[SendSubquery]:
         """Remove and return the held subqueries, with their remaining time updated."""
-        asks = [
+        steps = [
             SendSubquery(_shorten(step.subquery, now_ms - held_ms), step.route)
             for step, held_ms in self._subqueries.values()
         ]
         self._subqueries.clear()
-        return asks
+        return steps
 
     def drain_calls(self, now_ms: float) -> list[tuple[StartCall, float]]:
         """Remove and return the held calls, each with its remaining milliseconds."""
--- a/packages/geraniumlead/src/geraniumlead/instance/instance.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/instance.py
@@ -141,7 +141,7 @@
             ready=parts.is_ready,
             stopping=parts.lifecycle.is_stopping,
             revision=parts.store.revision,
-            platform_age_ms=self._configuration.contact.age_ms(now_ms),
+            platform_age_ms=self._configuration.platform_freshness.age_ms(now_ms),
             refused_documents={item.key: item.reason for item in parts.store.refused},
             open_requests=len(parts.coordinator),
             peers={
@@ -190,7 +190,7 @@
         if sender_id not in self.parts.membership.peers:
             # An unlisted sender cannot be answered, so its work would be wasted.
             return
-        self.parts.membership.record_heard(sender_id, now_ms)
+        self.parts.membership.record_message(sender_id, now_ms)
         match message:
             case Heartbeat() | Goodbye():
                 self._configuration.handle_liveness(sender_id, message, now_ms)
@@ -232,7 +232,9 @@
         self._calls.wake_dispatch(now_ms)
         self._requests.start_ready(now_ms)
         self._requests.expire_forwarded(now_ms)
-        if self._heartbeats.send_if_due(now_ms, self._configuration.contact.age_ms(now_ms)):
+        if self._heartbeats.send_if_due(
+            now_ms, self._configuration.platform_freshness.age_ms(now_ms)
+        ):
             self._configuration.read_if_updates_stopped(now_ms)
             self._calls.run_coordination(
                 self.parts.coordinator.retry_calls_at_lost_owners(now_ms), now_ms
--- a/packages/geraniumlead/src/geraniumlead/instance/lifecycle.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/lifecycle.py
@@ -40,14 +40,14 @@
         self._stop_began_ms = now_ms
         return True
 
-    def may_exit(self, work_in_hand: int, now_ms: float) -> bool:
+    def may_exit(self, work_in_progress: int, now_ms: float) -> bool:
         """Return whether a stopping instance has finished its work or reached its time limit."""
         if self.phase is not LifecyclePhase.STOPPING:
             return False
         stopping_ms = now_ms - self._stop_began_ms
         if stopping_ms >= self._timing.stop_bound_ms:
             return True
-        return stopping_ms >= self._timing.stop_notice_ms and work_in_hand == 0
+        return stopping_ms >= self._timing.stop_notice_ms and work_in_progress == 0
 
     @property
     def is_stopping(self) -> bool:
--- a/packages/geraniumlead/src/geraniumlead/membership/membership.py
+++ b/packages/geraniumlead/src/geraniumlead/membership/membership.py
@@ -34,7 +34,8 @@
     group in which every heartbeat goes to all, a peer is unreachable when nothing was heard from
     it for the peer timeout. In a larger group it is unreachable when no message of any kind
     follows a request or probe to it for the peer timeout. So a one-way network failure counts
-    as a loss, though others still hear the peer, and no list of suspected peers is exchanged.
+    as a loss, though others still receive messages of the peer, and no list of suspected peers
+    is exchanged.
     """
 
     __slots__ = (
@@ -93,7 +94,7 @@
         peer = self.peers.get(sender_id)
         if peer is None:
             return None
-        self.record_heard(sender_id, now_ms)
+        self.record_message(sender_id, now_ms)
         match message:
             case Heartbeat():
                 self._apply_heartbeat(peer, message)
@@ -101,8 +102,8 @@
                 peer.left_incarnation = incarnation
         return peer
 
-    def record_heard(self, sender_id: str, now_ms: float) -> None:
-        """Record a message of any kind from a peer: it lives, and its messages arrive here."""
+    def record_message(self, sender_id: str, now_ms: float) -> None:
+        """Record a message of any kind from a peer: it is alive, and its messages arrive here."""
         peer = self.peers.get(sender_id)
         if peer is not None:
             peer.heard_ms = now_ms
--- a/packages/geraniumlead/src/geraniumlead/membership/peer.py
+++ b/packages/geraniumlead/src/geraniumlead/membership/peer.py
@@ -8,7 +8,7 @@
     """A listed instance of any data centre, and the last state that it reported.
 
     ``unanswered_since_ms`` is when the first work or probe was sent to it after its last message.
-    ``left_incarnation`` is the incarnation that said goodbye.
+    ``left_incarnation`` is the incarnation that sent a goodbye.
     """
 
     entry: InstanceEntry
@@ -22,6 +22,6 @@
 
     @property
     def leaving(self) -> bool:
-        """Return whether the peer said goodbye, or is listed as leaving."""
+        """Return whether the peer sent a goodbye, or is listed as leaving."""
         said_goodbye = self.left_incarnation is not None
         return self.entry.state == "leaving" or said_goodbye
--- a/packages/geraniumlead/src/geraniumlead/membership/platform_freshness.py
+++ b/packages/geraniumlead/src/geraniumlead/membership/platform_freshness.py
@@ -26,27 +26,27 @@
     makes the reads of the others unnecessary.
     """
 
-    __slots__ = ("_random", "_read_due_ms", "heard_ms")
+    __slots__ = ("_random", "_read_due_ms", "answered_ms")
 
     def __init__(self, random: Random) -> None:
         self._random = random
         self._read_due_ms: float | None = None
-        self.heard_ms: float | None = None
+        self.answered_ms: float | None = None
 
     def record_relayed_age(self, age_ms: float, now_ms: float) -> None:
         """Record the age that a peer's heartbeat reports."""
         # Without the allowance, an age that two peers relay back and forth would never grow by
         # the transmission time of the heartbeats.
-        self.record_heard(now_ms - age_ms - RELAY_ALLOWANCE_MS)
+        self.record_answer(now_ms - age_ms - RELAY_ALLOWANCE_MS)
 
-    def record_heard(self, heard_ms: float) -> None:
+    def record_answer(self, answered_ms: float) -> None:
         """Record that the platform answered at ``heard_ms``, here or at a peer."""
-        if self.heard_ms is None or heard_ms > self.heard_ms:
-            self.heard_ms = heard_ms
+        if self.answered_ms is None or answered_ms > self.answered_ms:
+            self.answered_ms = answered_ms
 
     def age_ms(self, now_ms: float) -> float | None:
         """Return the time since the last answer of the platform; None before the first one."""
-        return None if self.heard_ms is None else now_ms - self.heard_ms
+        return None if self.answered_ms is None else now_ms - self.answered_ms
 
     def should_read(self, is_watching: bool, local_instances: int, now_ms: float) -> bool:
         """Return whether this instance should read the platform now."""
--- a/packages/geraniumlead/src/geraniumlead/peer_messages/messages.py
+++ b/packages/geraniumlead/src/geraniumlead/peer_messages/messages.py
@@ -25,7 +25,7 @@
 
 
 class Heartbeat(Struct, frozen=True, array_like=True, tag="heartbeat"):
-    """A sign of life, with the configuration that the sender uses.
+    """A liveness message, with the configuration that the sender uses.
 
     ``platform_age_ms`` is how long ago the platform confirmed ``revision`` as current, and
     ``digest`` is a digest of the documents at that revision. A ``stopping`` sender takes no new
@@ -64,7 +64,7 @@
 
 
 ANY_NONCE = 0
-"""The nonce of a probe whose answer only has to show that the peer lives."""
+"""The nonce of a probe whose answer only has to show that the peer is alive."""
 
 
 class Probe(Struct, frozen=True, array_like=True, tag="probe"):
--- a/packages/geraniumlead/src/geraniumlead/peering/contact_selector.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/contact_selector.py
@@ -10,7 +10,7 @@
 
 
 class ContactSelector:
-    """Choose the contacts that a hello carries.
+    """Chooses the contacts that a hello carries.
 
     An instance that has just started gets many contacts; all others get those of new instances.
     """
@@ -30,7 +30,7 @@
         self._gossiped.remove(instance_id)
 
     def sample(self, heard: Sequence[KnownPeer]) -> tuple[PeerContact, ...]:
-        """Return a random sample of the peers that were heard, for one that knows no peers."""
+        """Return a random sample of peers that sent hellos, for one that knows no peers."""
         chosen = self._random.sample(heard, min(MAX_SAMPLED_CONTACTS, len(heard)))
         return tuple(peer.contact for peer in chosen)
 
--- a/packages/geraniumlead/src/geraniumlead/peering/directory.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/directory.py
@@ -91,14 +91,14 @@
         self._seeds = tuple(address for address in seeds if address != self._contact.address)
 
     def is_live(self, peer: KnownPeer, now_ms: float) -> bool:
-        """Return whether a peer was heard lately, here or by another, and sent no goodbye."""
+        """Return whether a peer was heard from or named by another lately, and sent no goodbye."""
         return not peer.has_left and self._may_be_alive(peer, now_ms)
 
     def is_reachable(self, peer: KnownPeer, now_ms: float) -> bool:
         """Return whether a live peer has lately received a message from this instance.
 
-        Failure: messages get through in one direction only. The peer is heard each second, but
-        requests delegated to it are lost, and each would wait in vain for an acknowledgement.
+        Failure: messages get through in one direction only. Hellos of the peer arrive each second,
+        but requests delegated to it are lost, and each would wait in vain for an acknowledgement.
         """
         is_echoed = (
             now_ms - peer.echoed_ms
@@ -271,7 +271,7 @@
         )
 
     def _may_be_alive(self, peer: KnownPeer, now_ms: float) -> bool:
-        """Return whether a peer was heard lately, or named by another."""
+        """Return whether a peer was heard from lately, or named by another."""
         return now_ms - max(peer.heard_ms, peer.mentioned_ms) < self._rings.peer_timeout_ms(
             peer.contact.instance_id
         )
--- a/packages/geraniumlead/src/geraniumlead/peering/known_peer.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/known_peer.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class KnownPeer:
-    """The last state that a peer reported, and when it was heard.
+    """The last state that a peer reported, and when its latest hello came.
 
     ``mentioned_ms`` is when another instance last named the peer, and ``hello_sent_ms`` when a
     hello was last sent to it. ``echoed_ms`` is this instance's clock in its latest hello that the
--- a/packages/geraniumlead/src/geraniumlead/peering/store_read_state.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/store_read_state.py
@@ -10,7 +10,7 @@
 
 
 class StoreReadState:
-    """Track the results of calls to the platform's store, which decide what the next call reads.
+    """Tracks the results of calls to the platform's store, which decide what the next call reads.
 
     ``needs_state`` is set when the whole state has to be read, since nothing or too little is
     known. ``has_failed`` is set when the last call failed; updates from peers do not reset it.
--- a/packages/geraniumlead/src/geraniumlead/peering/store_read_timing.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/store_read_timing.py
@@ -39,7 +39,7 @@
 MAX_SLACK_MS = 1_000.0
 MIN_READ_MS = 1_000.0
 MAX_READ_MS = 2_000.0
-"""A slow store takes some hundred times its usual 4 ms; the minimum times allow for that."""
+"""A slow store takes some hundred times the normal 4 ms; the minimum times allow for that."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/geraniumlead/src/geraniumlead/peering/store_watch.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/store_watch.py
@@ -15,15 +15,15 @@
 
 
 class StoreWatch:
-    """Decide whether this instance watches the store, and which peers it relays updates to.
+    """Decides whether this instance watches the store, and which peers it relays updates to.
 
     Load pattern: hundreds of upstreams start, leave and change, and every instance needs all of
     these changes. If each of them watched the store, the calls of a fleet would cost more than
     its processors. Instead two instances of each data centre watch, however many it has. Small
     data centres share two watchers with the other small ones of their region.
 
-    Failure: the watchers die, freeze or lose the store, or two instances disagree on which ones
-    they are. An instance that gets no updates from a watcher for a part of the shortest bound
+    Failure: the watchers crash, are paused or lose the store, or two instances disagree on which
+    ones they are. An instance that gets no updates from a watcher for a part of the shortest bound
     reads the store itself and relays the result, so a wrong choice costs calls but no freshness.
     """
 
--- a/packages/geraniumlead/src/geraniumlead/published_upstreams/upstream_view.py
+++ b/packages/geraniumlead/src/geraniumlead/published_upstreams/upstream_view.py
@@ -10,8 +10,8 @@
 
     Failure: while the platform's store is unavailable, upstreams cannot renew their entries, and
     the store comes back without them. Applied at once, these removals would leave a service
-    without any upstream although all of them live. So for LAPSE_HOLD_MS after the return of the
-    store removed upstreams are kept; those that are still missing then are forgotten.
+    without any upstream although all of them are alive. So for LAPSE_HOLD_MS after the return of
+    the store removed upstreams are kept; those that are still missing then are forgotten.
     """
 
     __slots__ = (
--- a/packages/geraniumlead/src/geraniumlead/requests/coverage.py
+++ b/packages/geraniumlead/src/geraniumlead/requests/coverage.py
@@ -5,7 +5,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Coverage:
-    """The numbers of asked and answered shards of one index version, reported with an answer."""
+    """The numbers of queried and answered shards of one index version, reported with an answer."""
 
     asked_shards: int
     answered_shards: int
@@ -13,10 +13,10 @@
 
     @property
     def share(self) -> float:
-        """Return the share of asked shards that answered, from 0 to 1."""
+        """Return the share of queried shards that answered, from 0 to 1."""
         return self.answered_shards / self.asked_shards
 
     @property
     def is_whole(self) -> bool:
-        """Return whether every asked shard answered."""
+        """Return whether every queried shard answered."""
         return self.answered_shards == self.asked_shards
--- a/packages/geraniumlead/src/geraniumlead/routes/split_chooser.py
+++ b/packages/geraniumlead/src/geraniumlead/routes/split_chooser.py
@@ -4,7 +4,7 @@
 
 
 class SplitChooser:
-    """Distribute requests over services with the least deviation from the weights.
+    """Distributes requests over services with the least deviation from the weights.
 
     Load pattern: a few requests a second at each of several instances. Independent random
     choices deviate from the weights by a tenth or more over 50 requests. Choosing each time the
--- a/packages/geraniumlead/src/geraniumlead/routing/router.py
+++ b/packages/geraniumlead/src/geraniumlead/routing/router.py
@@ -10,7 +10,7 @@
 from geraniumlead.ownership.owners import OwnerTable
 from geraniumlead.routing.replica import SUSPECT_AFTER_OVERDUE, Replica
 from geraniumlead.routing.replica_group import ReplicaGroup
-from geraniumlead.routing.route import Route
+from geraniumlead.routing.subquery_route import SubqueryRoute
 from geraniumlead.upstreams.answers import (
     Cold,
     ConnectionLost,
@@ -114,7 +114,7 @@
         now_ms: float,
         long_running: bool = False,
         skip_avoided: bool = False,
-    ) -> Route | None:
+    ) -> SubqueryRoute | None:
         """Return the best route to one of ``replicas`` that was not tried, or None.
 
         With ``skip_avoided`` there is no fallback to replicas that are avoided or known to be cold.
@@ -129,7 +129,7 @@
                     candidates.append(replica)
                 elif replica.is_own and self._has_free_cold_slot(replica, now_ms):
                     # A free cold slot is used first, because this warms up the upstream.
-                    return Route(replica.upstream_id, None)
+                    return SubqueryRoute(replica.upstream_id, None)
             idle_suspect = self._find_idle_suspect(tier, candidates, tried, now_ms)
             while candidates:
                 replica = idle_suspect or self._pick_of_two(candidates, now_ms)
@@ -168,7 +168,7 @@
 
     def choose_probe(
         self, replicas: tuple[str, ...], tried: Collection[str], now_ms: float
-    ) -> Route | None:
+    ) -> SubqueryRoute | None:
         """Return a route to a suspected replica that is due for a probe, or None.
 
         A replica that gets no calls cannot be seen to recover. The probe is sent in addition to
@@ -268,7 +268,7 @@
 
     def _choose_fallback(
         self, group: ReplicaGroup, tried: Collection[str], now_ms: float, long_running: bool
-    ) -> Route | None:
+    ) -> SubqueryRoute | None:
         """Return a route if no replica is good. Cold upstreams come last, through slot holders."""
         untried = [replica for replica in group.replicas if replica.upstream_id not in tried]
         untried.sort(
@@ -289,7 +289,9 @@
             return not self._cold_start.takes_load(replica.upstream_id, now_ms)
         return now_ms < replica.cold_until_ms
 
-    def _route_to(self, replica: Replica, now_ms: float, long_running: bool) -> Route | None:
+    def _route_to(
+        self, replica: Replica, now_ms: float, long_running: bool
+    ) -> SubqueryRoute | None:
         upstream_id, owners = replica.upstream_id, replica.owners
         entry = self._view.upstreams[upstream_id].entry
         if self._is_known_cold(replica, now_ms):
@@ -297,10 +299,10 @@
         if long_running:
             owners = tuple(name for name in owners if count_long_slots(entry, replica.owners, name))
         if self._instance_id in owners:
-            return Route(upstream_id, None)
+            return SubqueryRoute(upstream_id, None)
         for name in replica.ranked_owners:
             if name in owners and self._membership.is_reachable(name, now_ms):
-                return Route(upstream_id, name)
+                return SubqueryRoute(upstream_id, name)
         return None
 
     def _group_of(self, replicas: tuple[str, ...]) -> ReplicaGroup:
--- a/packages/geraniumlead/src/geraniumlead/routing/route.py
+++ b/packages/geraniumlead/src/geraniumlead/routing/subquery_route.py
@@ -2,7 +2,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Route:
+class SubqueryRoute:
     """The upstream of a subquery and the owner to send it through; None is this instance."""
 
     upstream_id: str
--- a/packages/geraniumlead/src/geraniumlead/tickets/ticket_record.py
+++ b/packages/geraniumlead/src/geraniumlead/tickets/ticket_record.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class TicketRecord:
-    """What an instance remembers of a ticket.
+    """The state that an instance stores for a ticket.
 
     ``waiting`` holds the IDs of repeats that will get the running request's outcome.
     """
--- a/packages/geraniumlead/tests/core_tests/forwarding/harness.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/harness.py
@@ -6,7 +6,7 @@
 from geraniumlead.forwarding import (
     AttemptEnded,
     AttemptResult,
-    CallerLeft,
+    CallerDisconnected,
     CancelAttempt,
     Forwarder,
     ForwardingSettings,
@@ -57,7 +57,7 @@
         return self.handle(RequestArrived(build_request(key, self.now_ms, **changes)))
 
     def leave(self, key: int) -> None:
-        self.handle(CallerLeft(key))
+        self.handle(CallerDisconnected(key))
 
     def end(self, attempt: StartAttempt, result: AttemptResult) -> list[StartAttempt]:
         return self.handle(AttemptEnded(attempt.attempt_id, result))
--- a/packages/geraniumlead/tests/core_tests/membership/test_membership.py
+++ b/packages/geraniumlead/tests/core_tests/membership/test_membership.py
@@ -73,7 +73,7 @@
         membership.record_sent("noord-1", 2_000.0)
         self.assertTrue(membership.is_reachable("noord-1", TIMEOUT_MS))
         self.assertFalse(membership.is_reachable("noord-1", TIMEOUT_MS + 1))
-        membership.record_heard("noord-1", 3_000.0)
+        membership.record_message("noord-1", 3_000.0)
         self.assertTrue(membership.is_reachable("noord-1", 3_000.0))
 
     def test_silent_peers_are_probed_a_few_at_a_time_and_all_in_turn(self):
