--- a/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/configuration_handler.py
@@ -6,7 +6,7 @@
 from geraniumlead.instance.parts import InstanceParts
 from geraniumlead.membership import PlatformFreshness
 from geraniumlead.ownership import OwnerTable
-from geraniumlead.peers import (
+from geraniumlead.peer_messages import (
     ANY_NONCE,
     DocumentsRequest,
     DocumentsUpdate,
@@ -33,23 +33,23 @@
 
     __slots__ = (
         "_calls",
-        "_divergence",
+        "_divergence_detector",
         "_owners",
         "_parts",
-        "_questions",
+        "_request_limiter",
         "_reread_ms",
-        "contact",
         "is_watching",
+        "platform_freshness",
     )
 
     def __init__(self, parts: InstanceParts, calls: CallHandler) -> None:
         self._parts = parts
         self._calls = calls
-        self._divergence = DivergenceDetector()
+        self._divergence_detector = DivergenceDetector()
         self._owners = OwnerTable(parts.store.view)
-        self._questions = DocumentRequestLimiter()
+        self._request_limiter = DocumentRequestLimiter()
         self._reread_ms = float("-inf")
-        self.contact = PlatformFreshness(parts.random)
+        self.platform_freshness = PlatformFreshness(parts.random)
         self.is_watching = False
 
     def start(self) -> None:
@@ -63,9 +63,9 @@
         self._parts.actions.append(ReadPlatform(watch=self.is_watching, read_number=number))
 
     def read_if_updates_stopped(self, now_ms: float) -> None:
-        """Read the platform if neither a watcher nor a peer has recently heard from it."""
+        """Read the platform if no watcher or peer has recently received an answer from it."""
         local = 1 + len(self._parts.membership.local_peers())
-        if self.contact.should_read(self.is_watching, local, now_ms):
+        if self.platform_freshness.should_read(self.is_watching, local, now_ms):
             self.read_platform()
 
     def handle_documents(self, event: DocumentsReceived, now_ms: float) -> None:
@@ -84,7 +84,7 @@
         elif event.revision > store.revision:
             self._reread(now_ms)
         else:
-            self.contact.record_heard(now_ms)
+            self.platform_freshness.record_answer(now_ms)
 
     def handle_read_failure(self, event: PlatformReadFailed) -> None:
         """Log that a read of the platform failed; the documents in force do not change."""
@@ -114,7 +114,7 @@
 
     def request_documents(self, peer_id: str, revision: int, now_ms: float) -> None:
         """Request the documents up to a peer's revision, unless they were requested just now."""
-        if self._questions.may_request(self._parts.store.revision, revision, now_ms):
+        if self._request_limiter.may_request(self._parts.store.revision, revision, now_ms):
             self._parts.send(peer_id, DocumentsRequest(self._parts.store.revision))
 
     def send_documents(self, sender_id: str, message: DocumentsRequest) -> None:
@@ -144,10 +144,10 @@
             return
         # The platform age is valid only together with the revision that was read at that time.
         if heartbeat.platform_age_ms is not None:
-            self.contact.record_relayed_age(heartbeat.platform_age_ms, now_ms)
+            self.platform_freshness.record_relayed_age(heartbeat.platform_age_ms, now_ms)
         if heartbeat.revision != store.revision:
             return
-        if self._divergence.should_request_all(store.digest, heartbeat.digest, now_ms):
+        if self._divergence_detector.should_request_all(store.digest, heartbeat.digest, now_ms):
             fields = {"peer": sender_id, "revision": store.revision}
             parts.actions.append(Report("configuration_diverged", fields, "error"))
             parts.send(sender_id, DocumentsRequest(ALL_REVISIONS))
--- a/packages/geraniumlead/src/geraniumlead/fleet/fleet_view.py
+++ b/packages/geraniumlead/src/geraniumlead/published_upstreams/upstream_view.py
@@ -1,17 +1,17 @@
-from geraniumlead.fleet.upstream_record import UpstreamRecord
+from geraniumlead.published_upstreams.upstream_record import UpstreamRecord
 
 LAPSE_HOLD_MS = 2_200.0
 """Time for which removals are delayed after an outage of the store; live upstreams publish their
 entries again within 2 s of its return."""
 
 
-class FleetView:
+class UpstreamView:
     """The known upstreams, and which of them may be used for each service.
 
     Failure: while the platform's store is unavailable, upstreams cannot renew their entries, and
     the store comes back without them. Applied at once, these removals would leave a service
-    without any upstream although all of them live. So for LAPSE_HOLD_MS after the return of the
-    store removed upstreams are kept; those that are still missing then are forgotten.
+    without any upstream although all of them are alive. So for LAPSE_HOLD_MS after the return of
+    the store removed upstreams are kept; those that are still missing then are forgotten.
     """
 
     __slots__ = (
--- a/packages/geraniumlead/tests/core_tests/membership/test_membership.py
+++ b/packages/geraniumlead/tests/core_tests/membership/test_membership.py
@@ -7,7 +7,7 @@
 from geraniumlead.configuration import ClusterView
 from geraniumlead.membership import Membership
 from geraniumlead.membership.membership import LOCAL_PEERS_PER_HEARTBEAT, PROBES_PER_HEARTBEAT
-from geraniumlead.peers import Goodbye, Heartbeat
+from geraniumlead.peer_messages import Goodbye, Heartbeat
 
 TIMEOUT_MS = 2_500.0
 INTERVAL_MS = 500.0
@@ -73,7 +73,7 @@
         membership.record_sent("noord-1", 2_000.0)
         self.assertTrue(membership.is_reachable("noord-1", TIMEOUT_MS))
         self.assertFalse(membership.is_reachable("noord-1", TIMEOUT_MS + 1))
-        membership.record_heard("noord-1", 3_000.0)
+        membership.record_message("noord-1", 3_000.0)
         self.assertTrue(membership.is_reachable("noord-1", 3_000.0))
 
     def test_silent_peers_are_probed_a_few_at_a_time_and_all_in_turn(self):
