--- a/packages/geraniumlead-client/src/geraniumlead_client/addresses.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/addresses.py
@@ -1,4 +1,4 @@
-"""Command-line arguments for the operators' addresses of instances."""
+"""Command-line arguments for the addresses of instances that serve operators."""
 
 from argparse import ArgumentParser, Namespace
 from pathlib import Path
--- a/packages/geraniumlead-client/src/geraniumlead_client/commands/instance.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/commands/instance.py
@@ -7,7 +7,7 @@
 
 
 class InstanceCommand(StateChangeCommand):
-    """Prepare the instance list that takes an entry instance out or brings it back."""
+    """Prepare the instance list that takes an entry instance out of service or brings it back."""
 
     name = "instance"
     help = "prepare to take an entry instance out of service or bring it back"
--- a/packages/geraniumlead-client/src/geraniumlead_client/explanations.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/explanations.py
@@ -1,4 +1,4 @@
-"""Describe an instance's record of a request in words."""
+"""Explain an instance's record of a request as text."""
 
 REFUSAL_EXPLANATIONS = {
     "rate": "rate_per_s and burst_requests of the contract were used up",
--- a/packages/geraniumlead-client/src/geraniumlead_client/fleet_status.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/fleet_status.py
@@ -31,7 +31,7 @@
 
     @classmethod
     def from_replies(cls, replies: list[Reply]) -> "FleetStatus":
-        """Separate statuses from missing replies and find the problems."""
+        """Return the statuses, the instances that did not answer and the problems found."""
         statuses = [reply.body for reply in replies if reply.body is not None]
         unreachable = [reply for reply in replies if reply.body is None]
         fleet = cls(statuses, unreachable)
@@ -79,8 +79,7 @@
     def upstream_rows(self, include_routine: bool) -> list[list[object]]:
         """Return one row for each condition that keeps an upstream from full use.
 
-        Upstreams that are merely unproven or warming are left out unless ``include_routine`` is
-        set.
+        Upstreams that are only unproven or warming are omitted unless ``include_routine`` is set.
         """
         hidden = frozenset() if include_routine else ROUTINE_CONDITIONS
         merged: dict[tuple[str, str], list] = {}
--- a/packages/geraniumlead-client/src/geraniumlead_client/prepared_change.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/prepared_change.py
@@ -1,4 +1,4 @@
-"""Print a document that an operator may publish."""
+"""Print the document of a prepared change for an operator to publish."""
 
 from dataclasses import dataclass
 
@@ -32,11 +32,11 @@
         )
         return FOUND_PROBLEMS if capacity.problems else OK
     if change.before == change.after:
-        print(f"{change.key} already reads so at revision {change.revision}")
+        print(f"{change.key} needs no change at revision {change.revision}")
     else:
         print(f"publish under {change.key} (prepared at revision {change.revision}):")
         print_json(change.after)
-    print("\nafter it, in the data centres that are in:")
+    print("\nafter the change, in the data centres in service:")
     headers = ["service", "slots", "busy now", "used", "shards without a replica"]
     print(render_table(headers, capacity.rows()))
     for problem in capacity.problems:
--- a/packages/geraniumlead-client/src/geraniumlead_client/state_change_command.py
+++ b/packages/geraniumlead-client/src/geraniumlead_client/state_change_command.py
@@ -19,7 +19,7 @@
     """
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the direction, the name and the addresses."""
+        """Add the direction (out or back), the name and the addresses."""
         parser.add_argument("direction", choices=[OUT, BACK])
         parser.add_argument("target", metavar="NAME")
         add_address_arguments(parser)
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/bodies.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/bodies.py
@@ -1,4 +1,4 @@
-"""Define the JSON bodies of callers' requests."""
+"""JSON bodies of callers' requests."""
 
 from typing import Annotated
 
@@ -8,7 +8,7 @@
 
 
 class QueryBody(Struct, rename={"class_name": "class"}, forbid_unknown_fields=True):
-    """Be the body of POST /v1/queries."""
+    """The body of POST /v1/queries."""
 
     class_name: Name
     query: Raw
@@ -20,6 +20,6 @@
 
 
 class TicketBody(Struct, rename={"class_name": "class"}, forbid_unknown_fields=True):
-    """Be the body of POST /v1/tickets."""
+    """The body of POST /v1/tickets."""
 
     class_name: Name
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/openapi.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/openapi.py
@@ -6,18 +6,18 @@
 from geraniumlead_server.callers.bodies import QueryBody, TicketBody
 
 _RESPONSE_BY_STATUS = {
-    "200": ("whole or partial answer", "Answer"),
-    "400": ("malformed, or not run", "NotRun"),
+    "200": ("a whole or partial answer", "Answer"),
+    "400": ("the request is malformed, or was not run", "NotRun"),
     "401": ("no contract lists the credential", None),
-    "403": ("not run: the contract does not allow it", "NotRun"),
-    "408": ("not received whole in time", None),
-    "410": ("not run: the ticket expired", "NotRun"),
+    "403": ("the request was not run: the contract does not allow it", "NotRun"),
+    "408": ("the request was not received completely in time", None),
+    "410": ("the request was not run: the ticket expired", "NotRun"),
     "413": ("the body is too long", None),
-    "422": ("not run: too many shards", "NotRun"),
-    "429": ("not run: a limit of the contract", "NotRun"),
+    "422": ("the request was not run: too many shards", "NotRun"),
+    "429": ("the request was not run: a limit of the contract was reached", "NotRun"),
     "431": ("the headers are too long", None),
-    "503": ("not run: a limit of the service", "NotRun"),
-    "504": ("failed, or unknown", "Ended"),
+    "503": ("the request was not run: the service cannot run it at present", "NotRun"),
+    "504": ("the request failed, or its outcome is unknown", "Ended"),
 }
 
 
@@ -77,8 +77,8 @@
         "summary": "Tell the balancer whether to send requests here",
         "security": [],
         "responses": {
-            "200": {"description": "wants requests"},
-            "503": {"description": "wants none"},
+            "200": {"description": "the instance accepts requests"},
+            "503": {"description": "the instance accepts no requests"},
         },
     }
 
@@ -101,9 +101,9 @@
             request_id=text,
             reason={"enum": [item.value for item in RefusalReason]},
         )
-        | {"description": "retry_after_ms is there when it is known"},
+        | {"description": "retry_after_ms is present if it is known"},
         "Ended": _object(outcome={"enum": ["failed", "unknown"]}, request_id=text, detail=text)
-        | {"description": "a failed one may have a coverage"},
+        | {"description": "coverage may be present if the outcome is failed"},
         "Ticket": _object(ticket=text, valid_ms={"type": "number"}),
     }
 
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/queries.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/queries.py
@@ -20,7 +20,7 @@
 
 
 class QueriesResource:
-    """The resource that runs queries."""
+    """The falcon resource that runs callers' queries."""
 
     def __init__(self, driver: InstanceDriver) -> None:
         self._driver = driver
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/ready.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/ready.py
@@ -6,7 +6,7 @@
 
 
 class ReadyResource:
-    """Responds 200 while the instance accepts requests, else 503."""
+    """The falcon resource that responds 200 while the instance accepts requests, else 503."""
 
     def __init__(self, driver: InstanceDriver) -> None:
         self._driver = driver
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/rendering.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/rendering.py
@@ -25,7 +25,7 @@
 
 
 def render_outcome(response: falcon.Response, request_id: str, outcome: Outcome) -> None:
-    """Fill in the response; the JSON body always has the name of the outcome."""
+    """Set the status, headers and JSON body of the response; the body names the outcome."""
     response.set_header("X-Request-Id", request_id)
     response.content_type = falcon.MEDIA_JSON
     match outcome:
--- a/packages/geraniumlead-server/src/geraniumlead_server/callers/tickets.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/callers/tickets.py
@@ -16,7 +16,7 @@
 
 
 class TicketsResource:
-    """The resource that issues tickets for non-idempotent requests."""
+    """The falcon resource that issues tickets for non-idempotent requests."""
 
     def __init__(self, driver: InstanceDriver) -> None:
         self._driver = driver
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_client/client.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_client/client.py
@@ -65,7 +65,7 @@
         url = URL(f"http://{upstream.address}{request.target}", encoded=True)
         headers = attempt_headers(request, upstream.upstream_id, action.time_left_ms)
         try:
-            async with self._client().request(
+            async with self._get_session().request(
                 request.method,
                 url,
                 data=request.body or None,
@@ -81,7 +81,7 @@
         except (ClientError, OSError, ValueError) as error:
             return PossiblyExecuted(type(error).__name__, is_connection_lost=True)
 
-    def _client(self) -> ClientSession:
+    def _get_session(self) -> ClientSession:
         if self._session is None:
             connector = AttemptConnector(
                 REQUEST_ID_HEADER, limit=0, keepalive_timeout=IDLE_S, use_dns_cache=False
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_front/forwarding_app.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_front/forwarding_app.py
@@ -1,4 +1,4 @@
-"""ASGI application that forwards callers' requests."""
+"""Read callers' requests over ASGI and send the replies."""
 
 import asyncio
 
@@ -26,7 +26,7 @@
 
 
 class ForwardingApp:
-    """The ASGI application for all paths and methods."""
+    """An ASGI application that passes requests of all paths and methods to the forwarder."""
 
     def __init__(self, driver: ForwardingDriver) -> None:
         self._driver = driver
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_front/readiness_app.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_front/readiness_app.py
@@ -1,4 +1,4 @@
-"""ASGI application for the readiness checks of the platform's load balancer."""
+"""Serve the readiness checks of the platform's load balancer."""
 
 from geraniumlead_server.forwarding_driver import ForwardingDriver
 from geraniumlead_server.forwarding_front.asgi_reply import Send, send_reply
@@ -11,7 +11,7 @@
 
 
 class ReadinessApp:
-    """Answers 200 while the instance accepts callers, and 503 otherwise."""
+    """An ASGI application that answers 200 while the instance accepts callers, otherwise 503."""
 
     def __init__(self, driver: ForwardingDriver) -> None:
         self._driver = driver
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_telemetry/decision_log.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_telemetry/decision_log.py
@@ -9,7 +9,7 @@
 
 RESERVED_BUDGET_SHARE = 0.5
 """Share of the budget that is reserved: below it, lines of ordinary answers are skipped, since
-complaints are about failed and late ones."""
+operators get complaints about failed and late ones."""
 
 ALWAYS_LOGGED_EVENTS = frozenset(
     {
--- a/packages/geraniumlead-server/src/geraniumlead_server/forwarding_telemetry/metrics.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/forwarding_telemetry/metrics.py
@@ -42,7 +42,7 @@
             ("geraniumlead_view_age_ms", self._read_view_age_ms),
             ("geraniumlead_store_lost", lambda: int(forwarder.published.is_store_lost)),
         ):
-            meter.create_observable_gauge(name, callbacks=[_observer_of(read)])
+            meter.create_observable_gauge(name, callbacks=[_build_gauge_callback(read)])
 
     def observe(self, decision: LogDecision) -> None:
         """Record one decision."""
@@ -76,7 +76,7 @@
         return 0 if configuration is None else configuration.version
 
 
-def _observer_of(read):
+def _build_gauge_callback(read):
     def observe(options: CallbackOptions):
         return [Observation(read())]
 
--- a/packages/geraniumlead-server/src/geraniumlead_server/logs/request_log.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/logs/request_log.py
@@ -16,7 +16,7 @@
     """Logs requests up to a rate of lines, so that logging does not add to an overload.
 
     Load pattern: a burst is refused, thousands of requests a second. One line each would
-    cost more than the refusals. The next line has the number of lines that were skipped.
+    cost more than the refusals. The next line reports how many were skipped.
     """
 
     def __init__(self, lines_per_s: float = MAX_LINES_PER_S) -> None:
--- a/packages/geraniumlead-server/src/geraniumlead_server/main.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/main.py
@@ -19,14 +19,16 @@
     parser = argparse.ArgumentParser(prog="geraniumleadd", description=__doc__)
     parser.add_argument("--settings", type=Path, required=True, help="JSON file of settings")
     parser.add_argument(
-        "--platform", action="store_true", help="run on the users' platform (its settings file)"
+        "--platform",
+        action="store_true",
+        help="run on the users' platform; SETTINGS is then a file of platform settings",
     )
     parser.add_argument("--check", action="store_true", help="check the settings and exit")
     return parser
 
 
 def load_settings(path: Path) -> InstanceSettings | list[str]:
-    """Return the settings in a file, or all that is wrong with it, a line each."""
+    """Return the settings in a file, or a list of its errors, one line each."""
     try:
         text = path.read_bytes()
     except OSError as error:
@@ -40,7 +42,7 @@
 
 def explain_errors(path: Path, text: bytes) -> list[str]:
     """Return every error of a settings file."""
-    # Loaded only for a bad file: a daemon that runs has no use for the schema library.
+    # Imported only for invalid settings: a running daemon does not need the schema library.
     from geraniumlead.file_checks import check_text
 
     findings = check_text(str(path), text, kind="settings").findings
@@ -51,7 +53,7 @@
     """Run until SIGTERM; exit 2 for bad settings."""
     arguments = build_parser().parse_args(argv)
     if arguments.platform:
-        # Loaded only here: each of the two daemons has no use for the other's parts.
+        # Imported only here: neither daemon needs the modules of the other.
         from geraniumlead_server.platform_main import main as run_on_platform
 
         checks = ["--check"] if arguments.check else []
--- a/packages/geraniumlead-server/src/geraniumlead_server/operators/documents.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/operators/documents.py
@@ -14,7 +14,7 @@
 
 
 class DocumentsResource:
-    """The resource with the documents in force by key, without digests of credentials."""
+    """The falcon resource of the documents in force by key, without digests of credentials."""
 
     def __init__(self, driver: InstanceDriver) -> None:
         self._driver = driver
--- a/packages/geraniumlead-server/src/geraniumlead_server/operators/recent_requests.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/operators/recent_requests.py
@@ -15,7 +15,7 @@
 
 
 class RecentRequest(Struct, kw_only=True):
-    """What an operator may look up about one request."""
+    """The details of one request that operators can look up."""
 
     request_id: str
     contract: str
@@ -37,7 +37,7 @@
 
 
 class RecentRequests:
-    """A bounded number of requests; the oldest is removed first.
+    """The details of the latest requests; above a limit the oldest is removed.
 
     Only the first upstreams of each request are recorded, in the order of sending: at a
     thousand shards a request all names would use more memory than the rest of the process.
--- a/packages/geraniumlead-server/src/geraniumlead_server/operators/requests.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/operators/requests.py
@@ -7,7 +7,7 @@
 
 
 class RequestsResource:
-    """The resource with the details of one recent request."""
+    """The falcon resource of the details of one recent request."""
 
     def __init__(self, recent_requests: RecentRequests) -> None:
         self._recent_requests = recent_requests
--- a/packages/geraniumlead-server/src/geraniumlead_server/operators/status.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/operators/status.py
@@ -7,7 +7,7 @@
 
 
 class StatusResource:
-    """The resource with the instance's state and view of the cluster."""
+    """The falcon resource of the instance's state and view of the cluster."""
 
     def __init__(self, driver: InstanceDriver) -> None:
         self._driver = driver
--- a/packages/geraniumlead-server/src/geraniumlead_server/peer_transport/outgoing_message.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/peer_transport/outgoing_message.py
@@ -1,4 +1,4 @@
-"""Define the interfaces of messages and codecs that the transport uses."""
+"""Interfaces of the messages and the codec that the transport uses."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
--- a/packages/geraniumlead-server/src/geraniumlead_server/peer_transport/transport.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/peer_transport/transport.py
@@ -41,9 +41,9 @@
 class PeerTransport:
     """Receives messages on one ROUTER socket and sends them on one DEALER socket per peer.
 
-    A message that cannot be queued is dropped: any message may be lost, and the core relies
-    on none. The kernel closes connections that have gone silent, since data sent on them is
-    never acknowledged.
+    A message that cannot be queued is dropped: any message may be lost, and the core does not
+    rely on delivery. The kernel closes connections that have gone silent, since data sent on
+    them is never acknowledged.
 
     With keys, the sender of a message is the owner of the key that authenticated its
     connection; the name in the identity is ignored, and unknown keys are refused. Without
@@ -104,7 +104,7 @@
             logger.debug("peer_message_dropped", extra={"fields": {"peer": outgoing.instance_id}})
 
     def _encode(self, message: Any) -> bytes:
-        """Return the encoded message, cached for as long as the same message is sent in a row.
+        """Return the encoded message; the last one is cached, since several peers get the same.
 
         Encoding a large configuration for each of ten peers would take ten milliseconds each.
         """
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform/store_client.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform/store_client.py
@@ -26,8 +26,8 @@
 """A reply with this many changes counts as truncated: the store limits one to about 500 items."""
 
 FULL_REPLY_BYTES = 700_000
-"""The same by size in base64, including one more change as large as the largest: the store limits
-a reply to about 1 MB and stops before the change that does not fit."""
+"""A reply counts as truncated if it would reach this size in base64 with one more change as large
+as its largest: the store limits a reply to about 1 MB and stops before one that does not fit."""
 
 BASE64_GROWTH = 4.0 / 3.0
 
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_client/client.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_client/client.py
@@ -1,4 +1,4 @@
-"""Follow the configuration: one full read, then a watch from its revision."""
+"""Follow the published documents: one full read, then a watch from its revision."""
 
 import asyncio
 from collections.abc import Callable
@@ -34,7 +34,7 @@
 
 
 class PlatformClient:
-    """Reads and watches the platform on request, using any of its addresses that answers."""
+    """Reads and watches the platform's documents on request, at any address that answers."""
 
     def __init__(
         self,
@@ -45,34 +45,34 @@
         self._addresses = random.sample(addresses, len(addresses))
         self._report = report
         self._random = random
-        self._task: asyncio.Task | None = None
-        self._reads: dict[int, asyncio.Task] = {}
+        self._watch_task: asyncio.Task | None = None
+        self._read_tasks: dict[int, asyncio.Task] = {}
         self._session: ClientSession | None = None
         self._budget = CallBudget(asyncio.get_running_loop().time())
 
     def watch(self, read_number: int) -> None:
         """Read everything and watch from that revision, replacing a running watch."""
         self.stop()
-        self._task = asyncio.get_running_loop().create_task(self._read_and_watch(read_number))
+        self._watch_task = asyncio.get_running_loop().create_task(self._read_and_watch(read_number))
 
     def read_once(self, read_number: int) -> None:
         """Start one full read, unless one with this number is running."""
-        if read_number in self._reads:
+        if read_number in self._read_tasks:
             return
         task = asyncio.get_running_loop().create_task(self._read_from_any_address(read_number))
-        self._reads[read_number] = task
-        task.add_done_callback(lambda _: self._reads.pop(read_number, None))
+        self._read_tasks[read_number] = task
+        task.add_done_callback(lambda _: self._read_tasks.pop(read_number, None))
 
     def stop(self) -> None:
         """Stop the watch."""
-        if self._task is not None:
-            self._task.cancel()
-            self._task = None
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+            self._watch_task = None
 
     async def close(self) -> None:
         """Cancel all calls and close the connections."""
         self.stop()
-        for task in list(self._reads.values()):
+        for task in list(self._read_tasks.values()):
             task.cancel()
         if self._session is not None:
             await self._session.close()
@@ -99,7 +99,7 @@
                 self._report(PlatformReadFailed(f"{address}: {type(error).__name__}"))
 
     async def _read(self, address: str, read_number: int) -> SeenKeys:
-        found = await self._range(address, prefix_range())
+        found = await self._read_range(address, prefix_range())
         revision = int(found.header.revision)
         documents = tuple(item.to_versioned() for item in found.kvs)
         seen = SeenKeys()
@@ -124,7 +124,7 @@
     async def _watch(self, address: str, seen: SeenKeys) -> None:
         create = prefix_range() | {"start_revision": str(seen.revision + 1)}
         await self._wait_for_budget()
-        async with self._client().post(
+        async with self._get_session().post(
             f"http://{address}/v3/watch", json={"create_request": create}, timeout=_WATCH_TIMEOUT
         ) as response:
             response.raise_for_status()
@@ -146,7 +146,7 @@
         mismatches = 0
         while mismatches < 2:
             await asyncio.sleep(WATCH_CHECK_INTERVAL_S)
-            found = await self._range(address, newest_key_range())
+            found = await self._read_range(address, newest_key_range())
             if int(found.header.revision) < seen.revision:
                 # An old copy of the store answers, for instance after a restore: new changes get
                 # revisions below the one that the watch waits for, so only a new read finds them.
@@ -160,9 +160,9 @@
                 # The watch may be about to deliver the change; at the second mismatch it is silent.
                 mismatches += 1
 
-    async def _range(self, address: str, selection: dict) -> RangeResponse:
+    async def _read_range(self, address: str, selection: dict) -> RangeResponse:
         await self._wait_for_budget()
-        async with self._client().post(
+        async with self._get_session().post(
             f"http://{address}/v3/kv/range", json=selection, timeout=_READ_TIMEOUT
         ) as response:
             response.raise_for_status()
@@ -177,7 +177,7 @@
         self._addresses.append(self._addresses.pop(0))
         return self._addresses[-1]
 
-    def _client(self) -> ClientSession:
+    def _get_session(self) -> ClientSession:
         if self._session is None:
             self._session = ClientSession(read_bufsize=MAX_LINE_BYTES)
         return self._session
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_client/errors.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_client/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions of a call to the platform after which the client goes on to the next address."""
+"""Exceptions of a call to the platform after which the client tries the next address."""
 
 from aiohttp import ClientError
 from msgspec import DecodeError
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_client/seen_keys.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_client/seen_keys.py
@@ -4,6 +4,9 @@
 class SeenKeys:
     """The keys that exist and their newest revision, as received from the platform.
 
+    ``newest_revision`` is the highest revision of a received value, and ``revision`` that of the
+    whole store, which also counts deletions and changes of other keys.
+
     A watch whose connection was lost on the network path without a reset stays open and
     delivers nothing, just like a watch without changes. Comparing this state with a small read
     of the newest revision and the number of keys tells the two apart.
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_client/wire.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_client/wire.py
@@ -7,7 +7,7 @@
 from geraniumlead.documents import KEY_PREFIX, VersionedValue
 
 
-class Header(Struct):
+class ResponseHeader(Struct):
     """The revision of the whole store; 64-bit numbers are encoded as strings."""
 
     revision: str = "0"
@@ -34,7 +34,7 @@
 class RangeResponse(Struct):
     """The response of /v3/kv/range; ``count`` counts all selected keys, whatever the limit."""
 
-    header: Header
+    header: ResponseHeader
     kvs: list[KeyValue] = field(default_factory=list)
     count: str = "0"
 
@@ -49,7 +49,7 @@
 class WatchResult(Struct):
     """One message of a watch."""
 
-    header: Header
+    header: ResponseHeader
     events: list[WatchEvent] = field(default_factory=list)
     created: bool = False
     canceled: bool = False
--- a/packages/geraniumlead-server/src/geraniumlead_server/platform_main.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/platform_main.py
@@ -30,7 +30,7 @@
 
 
 def load_platform_settings(path: Path) -> PlatformSettings | str:
-    """Return the settings in a file, or a message that says what is wrong with it."""
+    """Return the settings in a file, or an error message."""
     try:
         return PlatformSettings.from_json(path.read_bytes())
     except OSError as error:
--- a/packages/geraniumlead-server/src/geraniumlead_server/store_callbacks.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/store_callbacks.py
@@ -1,4 +1,4 @@
-"""Define the callbacks between the store follower and the rest of an instance."""
+"""Callbacks between the store follower and the rest of an instance."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
--- a/packages/geraniumlead-server/src/geraniumlead_server/store_follower.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/store_follower.py
@@ -48,7 +48,7 @@
     a long outage the state is read instead of its history.
 
     Failure: the store rejects the calls of an instance that has just started, or that has missed
-    updates of its peers. The instance requests the state from a peer as soon as a call fails and
+    updates from its peers. The instance requests the state from a peer as soon as a call fails and
     its view is old, so that its callers are served by what the peers know.
 
     An instance that is not a watcher receives the changes from the watchers of its data centre.
@@ -64,16 +64,16 @@
         callbacks: StoreCallbacks | None = None,
     ) -> None:
         self._client = client
-        self._pace = StoreReadTiming.from_bound(bound_ms)
+        self._timing = StoreReadTiming.from_bound(bound_ms)
         self._report = report
         self._random = random
         self._callbacks = callbacks or StoreCallbacks()
         self._as_of_s = float("-inf")
         self._call_due = asyncio.Event()
         self._loop = asyncio.get_running_loop()
-        self._backoff = Backoff(random, self._pace.max_retry_ms / 1000.0)
+        self._backoff = Backoff(random, self._timing.max_retry_ms / 1000.0)
         self._revision: int | None = None
-        self._contact = StoreReadState()
+        self._call_state = StoreReadState()
         self._is_history_gone = False
         self._has_more = False
         self._is_reading_state = False
@@ -115,7 +115,7 @@
         else:
             self._revision = relayed.to_revision
             self._record_as_of(self._loop.time() - age_ms / 1000.0)
-            self._contact.record_peer_update()
+            self._call_state.record_peer_update()
         is_after_outage = relayed.is_after_outage
         self._report(PublishedUpdates(updates, relayed.is_state, is_after_outage, age_ms, source))
 
@@ -123,12 +123,12 @@
         """Return what a peer at a revision does not know; None when this instance knows less.
 
         The reply holds the whole state that is known here, or no items when nothing has changed.
-        None is also returned when this view is too old: the peer would take it as an update and
-        wait for its whole patience again.
+        None is also returned when this view is too old: the peer would count the reply as an update
+        and wait for the whole update timeout again.
         """
         has_state = self._revision is not None and not self._is_reading_state
         age_ms = self._view_age_ms()
-        if not has_state or age_ms >= self._pace.update_timeout_ms:
+        if not has_state or age_ms >= self._timing.update_timeout_ms:
             return None
         if beyond_revision is not None and self._revision < beyond_revision:
             return None
@@ -158,10 +158,10 @@
         calls the store rejects waits, too.
         """
         spread = 1.0 + UPDATE_TIMEOUT_JITTER * self._random.random()
-        patience_s = self._pace.update_timeout_ms / 1000.0 * spread
+        timeout_s = self._timing.update_timeout_ms / 1000.0 * spread
         while not self._has_more:
-            left_s = self._as_of_s + patience_s - self._loop.time()
-            is_watching = self._callbacks.is_watcher() and not self._contact.has_failed
+            left_s = self._as_of_s + timeout_s - self._loop.time()
+            is_watching = self._callbacks.is_watcher() and not self._call_state.has_failed
             if is_watching or left_s < MIN_WAIT_S:
                 return
             try:
@@ -174,8 +174,8 @@
         """Make one call; return the pause until the next, in seconds."""
         call_started_s = self._loop.time()
         self._call_due.clear()
-        self._contact.record_call(call_started_s * 1000.0)
-        is_snapshot = self._contact.needs_state
+        self._call_state.record_call(call_started_s * 1000.0)
+        is_snapshot = self._call_state.needs_state
         self._has_more = False
         changes = None
         try:
@@ -192,7 +192,7 @@
             return self._handle_history_gone()
         except StoreError as error:
             return self._handle_store_error(error)
-        self._contact.record_answer(is_snapshot, self._now_ms())
+        self._call_state.record_answer(is_snapshot, self._now_ms())
         if not self._is_history_gone:
             self._backoff.reset()
         as_of_s = self._as_of_answer_s(call_started_s, changes)
@@ -226,14 +226,14 @@
 
     async def _watch(self) -> StoreChanges:
         wait_ms = int(self._watch_wait_ms())
-        return await self._client.watch(self._revision, wait_ms, self._pace.slack_ms)
+        return await self._client.watch(self._revision, wait_ms, self._timing.slack_ms)
 
     def _watch_wait_ms(self) -> float:
-        if self._contact.has_failed or not self._callbacks.is_watcher():
+        if self._call_state.has_failed or not self._callbacks.is_watcher():
             return SHORT_WATCH_MS
         if self._callbacks.has_readers():
-            return self._pace.relay_watch_ms
-        return self._pace.batching_ms if self._is_changing else self._pace.watch_ms
+            return self._timing.relay_watch_ms
+        return self._timing.batching_ms if self._is_changing else self._timing.watch_ms
 
     async def _read_state(self) -> tuple[PublishedUpdate, ...]:
         """Read the whole state.
@@ -242,20 +242,20 @@
         """
         self._is_reading_state = True
         try:
-            updates, self._revision = await self._client.read_all(self._pace.read_timeout_ms)
+            updates, self._revision = await self._client.read_all(self._timing.read_timeout_ms)
         finally:
             self._is_reading_state = False
         return updates
 
     def _pause_after(self, waited_s: float) -> float:
-        pace = self._pace
+        timing = self._timing
         pause_s = (
-            pace.relay_watch_ms if self._callbacks.has_readers() else pace.batching_ms
+            timing.relay_watch_ms if self._callbacks.has_readers() else timing.batching_ms
         ) / 1000.0
         if self._is_recovering():
             return min(pause_s, MAX_RECOVERY_PAUSE_S)
         # A watch that waited this long has collected changes already.
-        has_waited = waited_s >= pace.batching_ms / 1000.0
+        has_waited = waited_s >= timing.batching_ms / 1000.0
         return 0.0 if has_waited else pause_s * (0.9 + 0.2 * self._random.random())
 
     def _is_recovering(self) -> bool:
@@ -263,22 +263,22 @@
         return self._has_returned() and self._callbacks.lacks_upstreams()
 
     def _has_returned(self) -> bool:
-        return self._contact.has_just_returned(self._now_ms())
+        return self._call_state.has_just_returned(self._now_ms())
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
 
     def _handle_history_gone(self) -> float:
         logger.info("history_gone", extra={"fields": {"revision": self._revision}})
-        self._contact.needs_state = True
+        self._call_state.needs_state = True
         is_repeated = self._is_history_gone
         self._is_history_gone = True
         return self._backoff.next_pause_s() if is_repeated else 0.0
 
     def _handle_store_error(self, error: StoreError) -> float:
         self._report(StoreLost(str(error)))
-        self._contact.record_failure(self._now_ms())
-        if self._view_age_ms() >= self._pace.update_timeout_ms:
+        self._call_state.record_failure(self._now_ms())
+        if self._view_age_ms() >= self._timing.update_timeout_ms:
             self._callbacks.request_state(self._revision)
         pause_s = self._backoff.next_pause_s()
-        return pause_s if self._contact.has_answered else min(MAX_FIRST_READ_PAUSE_S, pause_s)
+        return pause_s if self._call_state.has_answered else min(MAX_FIRST_READ_PAUSE_S, pause_s)
--- a/packages/geraniumlead-server/src/geraniumlead_server/telemetry/label_registry.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/telemetry/label_registry.py
@@ -5,7 +5,7 @@
 
 
 class LabelRegistry:
-    """Assigns labels to contracts and classes in force, and one common label to all others.
+    """Assigns labels to the contracts and classes in force, and a common label to all others.
 
     A label stays in memory until the process ends. Without the limit, made-up names, or
     contracts that are added and removed for months, could use memory without bound.
--- a/packages/geraniumlead-server/src/geraniumlead_server/telemetry/metrics.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/telemetry/metrics.py
@@ -18,7 +18,7 @@
 FAN_OUT_BOUNDS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1200, 4096)
 
 STATUS_CACHE_MS = 50.0
-"""A collection reads the status once for each gauge, all within this time."""
+"""Time for which a status is reused, so that all gauges of one collection share one."""
 
 
 class RequestMetrics:
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/platform_process.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/platform_process.py
@@ -1,4 +1,4 @@
-"""Run the daemon as a separate process on a platform of stand-ins."""
+"""Run the daemon as a separate process with stubs of the platform's services."""
 
 import asyncio
 import signal
@@ -17,7 +17,7 @@
 
 
 class PlatformProcess:
-    """A store, two upstreams of one service, two shards, and one daemon."""
+    """A daemon process, a stub store, two upstreams of one service and two shards."""
 
     def __init__(self, **settings) -> None:
         self._own_settings = settings
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/reading_fleet.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/reading_fleet.py
@@ -87,9 +87,9 @@
         body = {"version": version, "routes": build_routes(route_count), "services": []}
         self.contents.put("op/config", body)
 
-    def age_s(self, mark: int | None, now_s: float) -> float:
-        """Return the age of a view whose latest mark is given; None if it has no mark yet."""
-        following = 0 if mark is None else mark + 1
+    def age_s(self, marker_number: int | None, now_s: float) -> float:
+        """Return the age of a view that has the marker changes up to this number; None for none."""
+        following = 0 if marker_number is None else marker_number + 1
         if following >= len(self._marked_s):
             return 0.0
         return now_s - self._marked_s[following]
@@ -108,7 +108,7 @@
 
 
 class ReadingInstance:
-    """An instance that follows a marked store and records the newest mark."""
+    """An instance that follows a marked store and records its latest change of the marker entry."""
 
     def __init__(
         self,
@@ -119,27 +119,27 @@
     ) -> None:
         self._store = store
         self.client = VirtualStoreClient(store.contents, ONE_WAY_DELAY_S)
-        self.mark: int | None = None
+        self.marker_number: int | None = None
         self.version: int | None = None
         self.known: dict[str, UpstreamSeen] = {}
         self.follower = StoreFollower(
             self.client, bound_ms, self._handle_event, Random(seed), callbacks
         )
         self._unread: list[Callable[[], None]] = []
-        self._read_s = float("-inf")
+        self._as_of_s = float("-inf")
 
     @property
     def age_s(self) -> float:
         """Return the true age of the view."""
-        return self._store.age_s(self.mark, asyncio.get_running_loop().time())
+        return self._store.age_s(self.marker_number, asyncio.get_running_loop().time())
 
     @property
     def estimated_age_s(self) -> float:
         """Return the age of the view as the instance estimates it."""
-        return asyncio.get_running_loop().time() - self._read_s
+        return asyncio.get_running_loop().time() - self._as_of_s
 
     async def freeze(self, seconds: float) -> None:
-        """Freeze for a time; what arrives meanwhile is read afterwards."""
+        """Freeze for a time; messages that arrive meanwhile are read afterwards."""
         self.client.is_running.clear()
         await asyncio.sleep(seconds)
         self.client.is_running.set()
@@ -158,7 +158,7 @@
         if isinstance(event, StoreLost):
             return
         now_s = asyncio.get_running_loop().time()
-        self._read_s = max(self._read_s, now_s - event.age_ms / 1000.0)
+        self._as_of_s = max(self._as_of_s, now_s - event.age_ms / 1000.0)
         for item in event.updates:
             match item:
                 case UpstreamSeen(record=record):
@@ -166,7 +166,7 @@
                 case ConfigurationSeen(configuration=configuration):
                     self.version = configuration.version
         marked = self.known.get(MARKER)
-        self.mark = None if marked is None else marked.record.slots - 1
+        self.marker_number = None if marked is None else marked.record.slots - 1
 
 
 async def max_age_s(members: list[ReadingInstance], seconds: float) -> float:
--- a/packages/geraniumlead-server/tests/server_tests/forwarding/test_large_fleet_reading.py
+++ b/packages/geraniumlead-server/tests/server_tests/forwarding/test_large_fleet_reading.py
@@ -25,9 +25,9 @@
 CALL_S = 0.2
 """Time of an answered call and of the interval in which ages are checked."""
 
-PATIENCE_MS = StoreReadTiming.from_bound(BOUND_MS).update_timeout_ms
-MAX_AGE_WITHOUT_UPDATES_S = PATIENCE_MS * (1.0 + UPDATE_TIMEOUT_JITTER) / 1000.0 + CALL_S
-"""Age of a view by which a reader has called the store itself."""
+UPDATE_TIMEOUT_MS = StoreReadTiming.from_bound(BOUND_MS).update_timeout_ms
+MAX_AGE_WITHOUT_UPDATES_S = UPDATE_TIMEOUT_MS * (1.0 + UPDATE_TIMEOUT_JITTER) / 1000.0 + CALL_S
+"""Greatest age of a view without updates: by then a reader has called the store itself."""
 
 
 class NextIndexTests(TestCase):
@@ -216,7 +216,8 @@
     def test_views_stay_fresh_when_relayed_updates_are_late(self):
         """Guards against readers that take late updates for new ones, and wait again.
 
-        A reader that knows the age of its view calls the store when that reaches its patience.
+        A reader that knows the age of its view calls the store when the age reaches the update
+        timeout.
         """
         self.run_each_seed(self._delay_relayed_updates)
 
--- a/packages/geraniumlead-server/tests/server_tests/logs/test_queued_output.py
+++ b/packages/geraniumlead-server/tests/server_tests/logs/test_queued_output.py
@@ -1,4 +1,4 @@
-"""Test that the process does not block on a log that nobody reads."""
+"""Test that logging does not block when nobody reads the log, and the limit on log lines."""
 
 import logging
 import os
--- a/packages/geraniumlead-server/tests/server_tests/peer_transport/test_dealer_pool.py
+++ b/packages/geraniumlead-server/tests/server_tests/peer_transport/test_dealer_pool.py
@@ -1,4 +1,4 @@
-"""Test which connections are kept open."""
+"""Test that idle connections to peers are closed."""
 
 from unittest import TestCase
 from unittest.mock import Mock
