--- a/packages/geraniumlead-server/src/geraniumlead_server/store_follower.py
+++ b/packages/geraniumlead-server/src/geraniumlead_server/store_follower.py
@@ -49,7 +49,7 @@
 
     Failure: the store rejects the calls of an instance that has just started, or that has missed
     updates from its peers. The instance requests the state from a peer as soon as a call fails and
-    its view is old, so that its callers are served by what the peers know.
+    its view is old, so that it serves its callers with the peers' view.
 
     An instance that is not a watcher receives the changes from the watchers of its data centre.
     It calls the store itself when the watchers are silent, or when an update follows a gap.
