--- a/packages/geraniumlead/src/geraniumlead/forwarding/aggregator_chooser.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/aggregator_chooser.py
@@ -70,7 +70,7 @@
         self._refreshed_ms = float("-inf")
 
     def find(
-        self, group_name: str, data_centre: str, opened: OpenRequest, now_ms: float
+        self, group_name: str, data_centre: str, open_request: OpenRequest, now_ms: float
     ) -> KnownPeer | None:
         """Return the peer for a shard group; None if this instance is one of its aggregators."""
         peers = self._peers_in(data_centre, now_ms)
@@ -78,7 +78,9 @@
         count = max(1, min(MAX_AGGREGATORS, len(ranked) // INSTANCES_PER_AGGREGATOR))
         own_id = self._settings.instance_id
         able = (
-            name for name in ranked if name == own_id or self.can_serve(peers[name], opened, now_ms)
+            name
+            for name in ranked
+            if name == own_id or self.can_serve(peers[name], open_request, now_ms)
         )
         aggregators = list(islice(able, count))
         if own_id in aggregators:
@@ -110,17 +112,17 @@
                 _assume_delays(peers.values())
         return self._peers.get(data_centre, {})
 
-    def can_serve(self, peer: KnownPeer, opened: OpenRequest, now_ms: float) -> bool:
+    def can_serve(self, peer: KnownPeer, open_request: OpenRequest, now_ms: float) -> bool:
         """Return whether a peer can probably serve a request now."""
         is_fresh = now_ms - peer.heard_ms < MAX_HELLO_AGE_MS
-        serves = peer.is_ready and peer.version >= opened.configuration.version
+        serves = peer.is_ready and peer.version >= open_request.configuration.version
         return (
             (serves or not is_fresh)
             and now_ms - peer.declined_ms >= DECLINED_BACKOFF_MS
             and now_ms - peer.started_ms >= NEW_PEER_BACKOFF_MS
             and peer.open_delegations < MAX_OPEN_DELEGATIONS
             and self._directory.may_be_reachable(peer, now_ms)
-            and self._is_silence_noticed_in_time(peer, opened.goal_ms - now_ms)
+            and self._is_silence_noticed_in_time(peer, open_request.goal_ms - now_ms)
         )
 
     def _is_silence_noticed_in_time(self, peer: KnownPeer, goal_left_ms: float) -> bool:
--- a/packages/geraniumlead/src/geraniumlead/forwarding/attempt_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/attempt_tracker.py
@@ -56,13 +56,13 @@
         self, subrequest: Subrequest, now_ms: float, skip_avoided: bool = False
     ) -> UpstreamRecord | None:
         """Return the upstream for the next attempt of a subrequest, or None."""
-        opened = subrequest.request
-        service = opened.configuration.services.get(subrequest.service)
-        if service is None or len(subrequest.sent_to) >= opened.route.max_upstreams:
+        open_request = subrequest.open_request
+        service = open_request.configuration.services.get(subrequest.service)
+        if service is None or len(subrequest.sent_to) >= open_request.route.max_upstreams:
             return None
-        median_latency_ms = self.lateness.median_latency_ms(opened.route, now_ms)
+        median_latency_ms = self.lateness.median_latency_ms(open_request.route, now_ms)
         return self.chooser.choose(
-            opened.route,
+            open_request.route,
             service,
             subrequest.tried,
             median_latency_ms,
@@ -72,14 +72,16 @@
 
     def could_wait(self, subrequest: Subrequest, now_ms: float) -> bool:
         """Return whether a subrequest only lacks a free call slot at an upstream."""
-        opened = subrequest.request
-        if subrequest.service not in opened.configuration.services:
+        open_request = subrequest.open_request
+        if subrequest.service not in open_request.configuration.services:
             return False
-        return self.chooser.has_untried(opened.route, subrequest.service, subrequest.tried, now_ms)
+        return self.chooser.has_untried(
+            open_request.route, subrequest.service, subrequest.tried, now_ms
+        )
 
     def send(self, subrequest: Subrequest, upstream: UpstreamRecord, now_ms: float) -> None:
         """Send a subrequest to an upstream."""
-        opened = subrequest.request
+        open_request = subrequest.open_request
         self._next_id += 1
         relative_rtt_ms = self.relative_rtts.relative_rtt_ms(upstream.data_centre)
         second_relative_rtt_ms = self.chooser.second_relative_rtt_ms(
@@ -93,17 +95,19 @@
         subrequest.tried.add(upstream.upstream_id)
         subrequest.sent_to.append(upstream.upstream_id)
         self.chooser.record_sent(upstream, now_ms)
-        left_ms = opened.end_ms - now_ms
-        self._actions.append(StartAttempt(attempt.attempt_id, upstream, opened.request, left_ms))
+        left_ms = open_request.end_ms - now_ms
+        self._actions.append(
+            StartAttempt(attempt.attempt_id, upstream, open_request.request, left_ms)
+        )
 
     def resend(
-        self, subrequest: Subrequest, upstream: UpstreamRecord, why: str, now_ms: float
+        self, subrequest: Subrequest, upstream: UpstreamRecord, reason: str, now_ms: float
     ) -> None:
         """Send a subrequest again and charge the service's budget of extra attempts."""
-        opened = subrequest.request
+        open_request = subrequest.open_request
         self.budgets.record_extra(subrequest.service, now_ms)
-        opened.extra_attempts += 1
-        opened.record_step(subrequest, upstream.upstream_id, f"again: {why}", now_ms)
+        open_request.extra_attempts += 1
+        open_request.record_step(subrequest, upstream.upstream_id, f"again: {reason}", now_ms)
         self.send(subrequest, upstream, now_ms)
 
     def finish(self, attempt_id: int, result: AttemptResult, now_ms: float) -> Attempt | None:
@@ -123,7 +127,7 @@
             estimate = self.chooser.estimate_of(attempt.upstream.upstream_id)
             estimate.in_flight -= 1
             elapsed_ms = now_ms - attempt.sent_ms - attempt.relative_rtt_ms
-            route = subrequest.request.route
+            route = subrequest.open_request.route
             median_latency_ms = self.lateness.median_latency_ms(route, now_ms)
             estimate.record_lower_bound(elapsed_ms / median_latency_ms, now_ms)
             if attempt.is_overdue and subrequest.answer is not None:
@@ -132,9 +136,9 @@
                 self.lateness.record(route, elapsed_ms, now_ms)
         subrequest.open_attempts.clear()
 
-    def cancel_all(self, opened: OpenRequest, now_ms: float) -> None:
+    def cancel_all(self, open_request: OpenRequest, now_ms: float) -> None:
         """Cancel the open attempts of a request."""
-        for subrequest in opened.subrequests:
+        for subrequest in open_request.subrequests:
             self.cancel(subrequest, now_ms)
 
     def record_overdue(self, attempt: Attempt, now_ms: float) -> None:
@@ -146,7 +150,7 @@
     def _update_estimates(self, attempt: Attempt, result: AttemptResult, now_ms: float) -> None:
         estimate = self.chooser.estimate_of(attempt.upstream.upstream_id)
         estimate.in_flight -= 1
-        route = attempt.subrequest.request.route
+        route = attempt.subrequest.open_request.route
         upstream = attempt.upstream
         match result:
             case NotReached(is_timeout=True):
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegated_request_registry.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegated_request_registry.py
@@ -52,42 +52,42 @@
             del self._senders[key]
         return key
 
-    def pop_final_reply(self, opened: OpenRequest) -> tuple[str, DelegatedReply]:
+    def pop_final_reply(self, open_request: OpenRequest) -> tuple[str, DelegatedReply]:
         """Remove a request that ends; return the sender's id and the final reply."""
-        sender_id, number = self._senders.pop(opened.request.key)
+        sender_id, number = self._senders.pop(open_request.request.key)
         del self._keys[(sender_id, number)]
-        positions = _positions_of(opened)
+        positions = _positions_of(open_request)
         tried = tuple(
             (positions[subrequest.service], tuple(subrequest.sent_to))
-            for subrequest in opened.subrequests
+            for subrequest in open_request.subrequests
             if subrequest.answer is None
         )
-        return sender_id, self._build_reply(number, opened, is_final=True, tried=tried)
+        return sender_id, self._build_reply(number, open_request, is_final=True, tried=tried)
 
-    def build_partial_reply(self, opened: OpenRequest) -> tuple[str, DelegatedReply]:
+    def build_partial_reply(self, open_request: OpenRequest) -> tuple[str, DelegatedReply]:
         """Return the sender's id and a partial reply, while the other shards are awaited."""
-        sender_id, number = self._senders[opened.request.key]
-        return sender_id, self._build_reply(number, opened, is_final=False)
+        sender_id, number = self._senders[open_request.request.key]
+        return sender_id, self._build_reply(number, open_request, is_final=False)
 
-    def _build_reply(self, number: int, opened: OpenRequest, **fields) -> DelegatedReply:
+    def _build_reply(self, number: int, open_request: OpenRequest, **fields) -> DelegatedReply:
         """Return a reply with the answers that no earlier reply contained."""
         answered = [
             subrequest
-            for subrequest in opened.subrequests
+            for subrequest in open_request.subrequests
             if subrequest.answer is not None and not subrequest.is_reported
         ]
         for subrequest in answered:
             subrequest.is_reported = True
-        target = opened.route.target
+        target = open_request.route.target
         count = target.record_count if isinstance(target, FanOut) else 0
         records = merge_greatest((subrequest.answer.body for subrequest in answered), count)
-        positions = _positions_of(opened)
+        positions = _positions_of(open_request)
         signatures = tuple(
             (positions[subrequest.service], subrequest.answer.signature) for subrequest in answered
         )
         return DelegatedReply(number=number, signatures=signatures, records=records, **fields)
 
 
-def _positions_of(opened: OpenRequest) -> dict[str, int]:
+def _positions_of(open_request: OpenRequest) -> dict[str, int]:
     """Return the position of each shard in the peer's request."""
-    return {service: position for position, service in enumerate(opened.request.shards or ())}
+    return {service: position for position, service in enumerate(open_request.request.shards or ())}
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegated_subrequests.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegated_subrequests.py
@@ -35,16 +35,21 @@
         self._actions = actions
 
     def delegate(
-        self, opened: OpenRequest, chosen: list[tuple[Subrequest, UpstreamRecord]], now_ms: float
+        self,
+        open_request: OpenRequest,
+        chosen: list[tuple[Subrequest, UpstreamRecord]],
+        now_ms: float,
     ) -> list[tuple[Subrequest, UpstreamRecord]]:
         """Delegate subrequests to peers as planned; return those to send from here."""
-        if not opened.is_fan_out:
+        if not open_request.is_fan_out:
             return chosen
-        for assignment in self._planner.assign(opened, chosen, now_ms):
+        for assignment in self._planner.assign(open_request, chosen, now_ms):
             for subrequest in assignment.subrequests:
                 subrequest.may_have_run = True
                 subrequest.is_delegated = True
-            message = self.tracker.start(opened, assignment.subrequests, assignment.peer, now_ms)
+            message = self.tracker.start(
+                open_request, assignment.subrequests, assignment.peer, now_ms
+            )
             self._actions.append(message)
         return [
             (subrequest, upstream) for subrequest, upstream in chosen if not subrequest.is_delegated
@@ -61,7 +66,7 @@
                 # subrequest gets them. They replace the answer of any shard that was queried
                 # from here as well.
                 answer = Completed(OK, (), records, signature)
-                delegation.opened.settle_answered(subrequest, answer)
+                delegation.open_request.settle_answered(subrequest, answer)
                 self._sender.cancel_subrequest(subrequest, now_ms)
                 records = b""
         if reply.is_final:
@@ -93,27 +98,27 @@
         self._actions.append(self.tracker.build_cancel_message(delegation))
         self._send_from_here(delegation, {}, reason, now_ms)
 
-    def send_partial_reply(self, opened: OpenRequest) -> None:
+    def send_partial_reply(self, open_request: OpenRequest) -> None:
         """Send a peer the answers available at its goal, and go on with the rest.
 
         Failure: if too few shards have answered at the goal, the peer needs some of the late ones.
         If they were cancelled here, the peer would send them again, over a longer distance, and
         they would start anew at an upstream, although the first one may be about to answer.
         """
-        if not opened.is_reported:
-            opened.is_reported = True
-            sender_id, message = self.registry.build_partial_reply(opened)
+        if not open_request.is_reported:
+            open_request.is_reported = True
+            sender_id, message = self.registry.build_partial_reply(open_request)
             self._actions.append(PeerReply(sender_id, message))
 
-    def send_final_reply(self, opened: OpenRequest) -> str:
+    def send_final_reply(self, open_request: OpenRequest) -> str:
         """Send a peer the final reply to its request, which ends; return the peer's id."""
-        sender_id, message = self.registry.pop_final_reply(opened)
+        sender_id, message = self.registry.pop_final_reply(open_request)
         self._actions.append(PeerReply(sender_id, message))
         return sender_id
 
-    def cancel(self, opened: OpenRequest) -> None:
+    def cancel(self, open_request: OpenRequest) -> None:
         """Cancel the delegations of a request and notify the peers."""
-        self._actions += self.tracker.cancel(opened)
+        self._actions += self.tracker.cancel(open_request)
 
     def _send_from_here(
         self,
@@ -127,4 +132,4 @@
             subrequest.is_delegated = False
             self._sender.record_peer_attempts(subrequest, tried.get(subrequest.service, ()))
         unsent = [subrequest for subrequest in missing if not subrequest.open_attempts]
-        self._sender.retry_delegated(delegation.opened, unsent, reason, now_ms)
+        self._sender.retry_delegated(delegation.open_request, unsent, reason, now_ms)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegation_planner.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegation_planner.py
@@ -66,7 +66,7 @@
 
     def assign(
         self,
-        opened: OpenRequest,
+        open_request: OpenRequest,
         chosen: Sequence[tuple[Subrequest, UpstreamRecord]],
         now_ms: float,
     ) -> list[Assignment]:
@@ -76,7 +76,7 @@
         trouble are sent from here, too: one hop more costs their callers as much as it saves in
         bytes.
         """
-        if opened.request.is_delegated:
+        if open_request.request.is_delegated:
             return []
         near: dict[str, list[Subrequest]] = {}
         far: list[Subrequest] = []
@@ -86,21 +86,23 @@
             elif not self._has_near(subrequest.service):
                 far.append(subrequest)
         if len(far) <= SHARD_GROUP_SIZE:
-            found = self._assign_far(opened, far, now_ms)
+            found = self._assign_far(open_request, far, now_ms)
         else:
-            found = self._assign_groups(opened, self._far_by_data_centre(opened, far), now_ms)
+            found = self._assign_groups(
+                open_request, self._far_by_data_centre(open_request, far), now_ms
+            )
         if sum(map(len, near.values())) > MAX_LOCAL_SHARDS:
-            found += self._assign_groups(opened, near, now_ms)
+            found += self._assign_groups(open_request, near, now_ms)
         return found
 
     def _assign_far(
-        self, opened: OpenRequest, subrequests: Sequence[Subrequest], now_ms: float
+        self, open_request: OpenRequest, subrequests: Sequence[Subrequest], now_ms: float
     ) -> list[Assignment]:
         """Return the peer for shards that are only in other regions, and these shards.
 
         They may be in several regions: as many of them as possible go to one peer.
         """
-        groups = self._group_by_region(subrequests, opened.route)
+        groups = self._group_by_region(subrequests, open_request.route)
         sizes = {len(group) for group in groups.values() if len(group) >= MIN_DELEGATED_SUBREQUESTS}
         for size in sorted(sizes, reverse=True):
             regions = {region for region, group in groups.items() if len(group) == size}
@@ -109,7 +111,7 @@
                 for peer in self._directory.peers.values()
                 if self._region_of(peer.contact.data_centre) in regions
                 and self._directory.is_reachable(peer, now_ms)
-                and self._aggregators.can_serve(peer, opened, now_ms)
+                and self._aggregators.can_serve(peer, open_request, now_ms)
             ]
             if peers:
                 peer = min(peers, key=self._aggregators.load_of)
@@ -117,13 +119,13 @@
         return []
 
     def _far_by_data_centre(
-        self, opened: OpenRequest, subrequests: Sequence[Subrequest]
+        self, open_request: OpenRequest, subrequests: Sequence[Subrequest]
     ) -> dict[str, list[Subrequest]]:
         """Return the shards of the other region that holds most of them, by data centre.
 
         A single peer for all of them would be as late as an instance that queries a whole index.
         """
-        groups = self._group_by_region(subrequests, opened.route)
+        groups = self._group_by_region(subrequests, open_request.route)
         if not groups:
             return {}
         max_size = max(map(len, groups.values()))
@@ -142,7 +144,7 @@
 
     def _assign_groups(
         self,
-        opened: OpenRequest,
+        open_request: OpenRequest,
         subrequests_by_data_centre: dict[str, list[Subrequest]],
         now_ms: float,
     ) -> list[Assignment]:
@@ -151,23 +153,23 @@
         A shard is in the same group whatever other shards are queried, so that the aggregators of a
         group keep their connections.
         """
-        sizes = self._shards_by_data_centre(opened)
+        sizes = self._shards_by_data_centre(open_request)
         found = []
         for data_centre, subrequests in subrequests_by_data_centre.items():
             count = ceil(sizes[data_centre] / SHARD_GROUP_SIZE)
             for group_name, members in _shard_groups_of(subrequests, count).items():
                 if len(members) < MIN_DELEGATED_SUBREQUESTS:
                     continue
-                peer = self._aggregators.find(group_name, data_centre, opened, now_ms)
+                peer = self._aggregators.find(group_name, data_centre, open_request, now_ms)
                 if peer is not None:
                     found.append(Assignment(peer, members))
         return found
 
-    def _shards_by_data_centre(self, opened: OpenRequest) -> Counter[str]:
+    def _shards_by_data_centre(self, open_request: OpenRequest) -> Counter[str]:
         """Return how many shards of a query have an upstream in each data centre."""
         return Counter(
             data_centre
-            for subrequest in opened.subrequests
+            for subrequest in open_request.subrequests
             for data_centre in {
                 record.data_centre for record in self._upstream_view.usable(subrequest.service)
             }
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegation_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegation_tracker.py
@@ -56,7 +56,7 @@
     """
 
     number: int
-    opened: OpenRequest
+    open_request: OpenRequest
     subrequests: list[Subrequest]
     peer: KnownPeer
     due_ms: float
@@ -97,25 +97,29 @@
         self._ack_delay = DelaySamples()
 
     def start(
-        self, opened: OpenRequest, subrequests: list[Subrequest], peer: KnownPeer, now_ms: float
+        self,
+        open_request: OpenRequest,
+        subrequests: list[Subrequest],
+        peer: KnownPeer,
+        now_ms: float,
     ) -> OutgoingPeerMessage:
         """Start a delegation; return the message that asks the peer for the shards."""
         self._last_number += 1
         one_way_ms = peer.estimated_delay_ms
-        request = opened.request
-        time_left_ms = max(0.0, opened.end_ms - now_ms - one_way_ms)
+        request = open_request.request
+        time_left_ms = max(0.0, open_request.end_ms - now_ms - one_way_ms)
         processing_ms = max(PEER_PROCESSING_MS, self._reply_delay.quantile_ms(now_ms))
-        goal_left_ms = opened.goal_ms - now_ms - 2.0 * one_way_ms - processing_ms
+        goal_left_ms = open_request.goal_ms - now_ms - 2.0 * one_way_ms - processing_ms
         if goal_left_ms < MIN_GOAL_LEFT_MS:
             # The goal cannot be met, so the peer gets the caller's remaining time to reach
             # enough shards.
             goal_left_ms = time_left_ms - one_way_ms
-        due_ms = now_ms + self._ack_timeout_ms(peer, opened.goal_ms - now_ms, now_ms)
+        due_ms = now_ms + self._ack_timeout_ms(peer, open_request.goal_ms - now_ms, now_ms)
         partial_reply_due_ms = now_ms + goal_left_ms + 2.0 * one_way_ms
         reply_due_ms = due_ms + goal_left_ms + REPLY_SLACK_MS
         delegation = Delegation(
             self._last_number,
-            opened,
+            open_request,
             subrequests,
             peer,
             due_ms,
@@ -126,11 +130,11 @@
         self._open[delegation.number] = delegation
         self._wakes.add(due_ms, delegation.number)
         peer.open_delegations += 1
-        opened.delegations.add(delegation.number)
+        open_request.delegations.add(delegation.number)
         message = DelegatedRequest(
             number=delegation.number,
-            version=opened.configuration.version,
-            route=opened.route.name,
+            version=open_request.configuration.version,
+            route=open_request.route.name,
             shards=tuple(subrequest.service for subrequest in subrequests),
             request_id=request.request_id,
             method=request.method,
@@ -195,12 +199,12 @@
         delegation = self._open.pop(number, None)
         if delegation is not None:
             delegation.peer.open_delegations -= 1
-            delegation.opened.delegations.discard(number)
+            delegation.open_request.delegations.discard(number)
         return delegation
 
-    def cancel(self, opened: OpenRequest) -> list[OutgoingPeerMessage]:
+    def cancel(self, open_request: OpenRequest) -> list[OutgoingPeerMessage]:
         """Remove a request's delegations; return the cancellations to send."""
-        removed = [self.pop(number) for number in sorted(opened.delegations)]
+        removed = [self.pop(number) for number in sorted(open_request.delegations)]
         return [self.build_cancel_message(found) for found in removed if found is not None]
 
     def pop_overdue(self, now_ms: float) -> list[Delegation]:
@@ -232,7 +236,7 @@
             self.pop(delegation.number)
         elif delegation.is_acknowledged or delegation.lateness is Lateness.ACKNOWLEDGEMENT:
             delegation.lateness = Lateness.REPLY
-            left_ms = max(0.0, delegation.opened.end_ms - now_ms)
+            left_ms = max(0.0, delegation.open_request.end_ms - now_ms)
             self._set_due(delegation, now_ms + LATE_REPLY_SHARE * left_ms)
         else:
             delegation.lateness = Lateness.ACKNOWLEDGEMENT
--- a/packages/geraniumlead/src/geraniumlead/forwarding/open_request.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/open_request.py
@@ -37,7 +37,7 @@
     while a peer is responsible for the subrequest.
     """
 
-    request: "OpenRequest"
+    open_request: "OpenRequest"
     service: str
     open_attempts: dict[int, Attempt] = field(default_factory=dict)
     tried: set[str] = field(default_factory=set)
@@ -129,11 +129,11 @@
             self.answered += 1
         subrequest.answer, subrequest.failure = answer, None
 
-    def settle_failed(self, subrequest: Subrequest, why: str, now_ms: float) -> None:
+    def settle_failed(self, subrequest: Subrequest, reason: str, now_ms: float) -> None:
         """Mark a subrequest as failed."""
-        subrequest.failure = why
+        subrequest.failure = reason
         self.settled += 1
-        self.record_step(subrequest, None, why, now_ms)
+        self.record_step(subrequest, None, reason, now_ms)
 
     def record_step(
         self, subrequest: Subrequest, upstream_id: str | None, what: str, now_ms: float
--- a/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/peer_message_handler.py
@@ -87,7 +87,7 @@
         for delegation in self._runner.delegated.tracker.pop_overdue(now_ms):
             fields = {
                 "peer": delegation.peer.contact.instance_id,
-                "request_id": delegation.opened.request.request_id,
+                "request_id": delegation.open_request.request.request_id,
                 "waited_ms": round(now_ms - delegation.sent_ms, 1),
                 "late": delegation.lateness.value,
             }
--- a/packages/geraniumlead/src/geraniumlead/forwarding/request_log.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/request_log.py
@@ -5,25 +5,29 @@
 
 
 def describe_request(
-    opened: OpenRequest, reason: str, reply: Reply | None, now_ms: float
+    open_request: OpenRequest, reason: str, reply: Reply | None, now_ms: float
 ) -> tuple[dict, str]:
     """Return the fields and the level of the log line of a request."""
-    request = opened.request
+    request = open_request.request
     fields = {
         "request_id": request.request_id,
-        "route": opened.route.name,
-        "version": opened.configuration.version,
-        "view_age_ms": None if opened.view_age_ms is None else round(opened.view_age_ms),
+        "route": open_request.route.name,
+        "version": open_request.configuration.version,
+        "view_age_ms": (
+            None if open_request.view_age_ms is None else round(open_request.view_age_ms)
+        ),
         "latency_ms": round(now_ms - request.arrived_ms, 1),
-        "goal_left_ms": round(opened.goal_ms - now_ms, 1),
-        "margin_ms": round(opened.margin_ms, 1),
+        "goal_left_ms": round(open_request.goal_ms - now_ms, 1),
+        "margin_ms": round(open_request.margin_ms, 1),
         "reason": reason,
-        "legs": len(opened.subrequests),
-        "answered": opened.answered,
-        "extra": opened.extra_attempts,
-        "steps": opened.steps,
+        "legs": len(open_request.subrequests),
+        "answered": open_request.answered,
+        "extra": open_request.extra_attempts,
+        "steps": open_request.steps,
     }
-    missing = [subrequest.service for subrequest in opened.subrequests if subrequest.answer is None]
+    missing = [
+        subrequest.service for subrequest in open_request.subrequests if subrequest.answer is None
+    ]
     if missing:
         fields["missing"] = missing
     match reply:
@@ -34,5 +38,5 @@
         case OwnReply(status=status, retry_after_ms=retry_after_ms):
             fields["status"] = status
             fields["retry_after_ms"] = retry_after_ms
-    is_good = fields.get("status") == 200 and not missing and now_ms <= opened.goal_ms
+    is_good = fields.get("status") == 200 and not missing and now_ms <= open_request.goal_ms
     return fields, "info" if is_good else "warning"
--- a/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
@@ -108,23 +108,25 @@
         margin_ms = self.processing_delay.margin_ms(route.latency_goal_ms, len(services), now_ms)
         goal_ms, end_ms = self._tracker.lateness.deadlines_of(request, route, margin_ms)
         view_age_ms = self._upstream_view.age_ms(now_ms)
-        opened = OpenRequest(request, route, configuration, goal_ms, end_ms, margin_ms, view_age_ms)
-        opened.subrequests = [Subrequest(opened, service) for service in services]
-        self._open[request.key] = opened
-        chosen = self._sender.choose_upstreams(opened, now_ms)
-        if opened.cannot_succeed:
-            self._sender.record_first(opened, now_ms)
+        open_request = OpenRequest(
+            request, route, configuration, goal_ms, end_ms, margin_ms, view_age_ms
+        )
+        open_request.subrequests = [Subrequest(open_request, service) for service in services]
+        self._open[request.key] = open_request
+        chosen = self._sender.choose_upstreams(open_request, now_ms)
+        if open_request.cannot_succeed:
+            self._sender.record_first(open_request, now_ms)
             # Nothing has been sent, so the reply can state that nothing was executed.
-            self._finish(opened, "no_upstream", now_ms)
+            self._finish(open_request, "no_upstream", now_ms)
             return
         if not request.is_delegated and self._tracker.isolation.should_refuse(now_ms):
-            self._finish(opened, "unreachable", now_ms)
+            self._finish(open_request, "unreachable", now_ms)
             return
-        chosen = self.delegated.delegate(opened, chosen, now_ms)
-        self._sender.record_first(opened, now_ms)
+        chosen = self.delegated.delegate(open_request, chosen, now_ms)
+        self._sender.record_first(open_request, now_ms)
         for subrequest, upstream in chosen:
             self._tracker.send(subrequest, upstream, now_ms)
-        self._finish_or_schedule(opened, now_ms)
+        self._finish_or_schedule(open_request, now_ms)
 
     def _is_crashing(self, request: ForwardedRequest, now_ms: float) -> bool:
         return bool(self.crashes) and self.crashes.is_refused(request.fingerprint, now_ms)
@@ -134,17 +136,17 @@
     ) -> None:
         """Handle a peer's reply to the shards that were delegated to it."""
         self.delegated.handle_reply(delegation, reply, now_ms)
-        self._finish_or_schedule(delegation.opened, now_ms)
+        self._finish_or_schedule(delegation.open_request, now_ms)
 
     def hedge_delegated(self, delegation: Delegation, now_ms: float) -> None:
         """Hedge the shards of a delegation whose peer is late."""
         self.delegated.hedge(delegation, now_ms)
-        self._finish_or_schedule(delegation.opened, now_ms)
+        self._finish_or_schedule(delegation.open_request, now_ms)
 
-    def reclaim_delegated(self, delegation: Delegation, why: str, now_ms: float) -> None:
+    def reclaim_delegated(self, delegation: Delegation, reason: str, now_ms: float) -> None:
         """Query the shards of a delegation that was given up from this instance."""
-        self.delegated.reclaim(delegation, why, now_ms)
-        self._finish_or_schedule(delegation.opened, now_ms)
+        self.delegated.reclaim(delegation, reason, now_ms)
+        self._finish_or_schedule(delegation.open_request, now_ms)
 
     def finish_attempt(self, attempt_id: int, result: AttemptResult, now_ms: float) -> None:
         """Handle the result of an attempt; the result of a cancelled one is ignored."""
@@ -154,32 +156,32 @@
         subrequest = attempt.subrequest
         if not subrequest.is_settled:
             self._sender.handle_result(attempt, result, now_ms)
-        if not self._finish_if_done(subrequest.request, now_ms):
+        if not self._finish_if_done(subrequest.open_request, now_ms):
             self._schedule_subrequest_check(subrequest, now_ms)
         self._send_waiting(subrequest.service, now_ms)
 
     def mark_hedged(self, key: int) -> None:
         """Record that the peer that delegated a request queries its shards as well."""
-        opened = self._open.get(key)
-        if opened is not None:
-            opened.is_hedged = True
+        open_request = self._open.get(key)
+        if open_request is not None:
+            open_request.is_hedged = True
 
     def drop(self, key: int, now_ms: float) -> None:
         """Remove a request whose caller disconnected, and cancel all work for it."""
-        opened = self._open.pop(key, None)
-        if opened is not None:
-            self._cancel_all(opened, now_ms)
-            self._log(opened, "caller_left", None, now_ms)
+        open_request = self._open.pop(key, None)
+        if open_request is not None:
+            self._cancel_all(open_request, now_ms)
+            self._log(open_request, "caller_left", None, now_ms)
 
     def wake(self, now_ms: float) -> None:
         """Check the requests whose next check is due."""
         while (due := self._wakes.pop_due(now_ms)) is not None:
             due_ms, key = due
-            opened = self._open.get(key)
-            if opened is not None and opened.next_check_ms == due_ms:
-                opened.next_check_ms = NEVER_MS
+            open_request = self._open.get(key)
+            if open_request is not None and open_request.next_check_ms == due_ms:
+                open_request.next_check_ms = NEVER_MS
                 self.processing_delay.record_timer(now_ms - due_ms, now_ms)
-                self._check(opened, now_ms)
+                self._check(open_request, now_ms)
 
     def next_wake_ms(self) -> float:
         """Return when ``wake`` has to be called next."""
@@ -187,51 +189,51 @@
 
     def end_all(self, now_ms: float) -> None:
         """End every open request with a reply."""
-        for opened in list(self._open.values()):
-            self._finish(opened, "stopping", now_ms)
+        for open_request in list(self._open.values()):
+            self._finish(open_request, "stopping", now_ms)
 
-    def _finish_or_schedule(self, opened: OpenRequest, now_ms: float) -> None:
+    def _finish_or_schedule(self, open_request: OpenRequest, now_ms: float) -> None:
         """End a request if it is complete or has failed, else schedule its next check."""
-        if not self._finish_if_done(opened, now_ms):
-            self._schedule_check(opened, now_ms)
+        if not self._finish_if_done(open_request, now_ms):
+            self._schedule_check(open_request, now_ms)
 
     def _send_waiting(self, service: str, now_ms: float) -> None:
         for subrequest in self._sender.send_waiting(service, now_ms):
             self._schedule_subrequest_check(subrequest, now_ms)
 
-    def _check(self, opened: OpenRequest, now_ms: float) -> None:
+    def _check(self, open_request: OpenRequest, now_ms: float) -> None:
         """End a request that has timed out, or hedge its late subrequests."""
-        if now_ms >= opened.end_ms:
-            self._finish(opened, "timeout", now_ms)
+        if now_ms >= open_request.end_ms:
+            self._finish(open_request, "timeout", now_ms)
             return
-        if self._finish_if_done(opened, now_ms):
+        if self._finish_if_done(open_request, now_ms):
             return
-        if now_ms >= self._wait_end_ms(opened):
-            self._finish(opened, "no_place", now_ms)
+        if now_ms >= self._wait_end_ms(open_request):
+            self._finish(open_request, "no_place", now_ms)
             return
-        if opened.route.is_idempotent:
-            self._sender.hedge_late(opened, now_ms)
-        self._schedule_check(opened, now_ms)
+        if open_request.route.is_idempotent:
+            self._sender.hedge_late(open_request, now_ms)
+        self._schedule_check(open_request, now_ms)
 
-    def _wait_end_ms(self, opened: OpenRequest) -> float:
+    def _wait_end_ms(self, open_request: OpenRequest) -> float:
         """Return when a request is refused of which nothing has been sent yet."""
-        if opened.may_have_run or opened.delegations:
+        if open_request.may_have_run or open_request.delegations:
             return NEVER_MS
-        if not any(subrequest.is_waiting for subrequest in opened.subrequests):
+        if not any(subrequest.is_waiting for subrequest in open_request.subrequests):
             return NEVER_MS
-        if any(subrequest.open_attempts for subrequest in opened.subrequests):
+        if any(subrequest.open_attempts for subrequest in open_request.subrequests):
             return NEVER_MS
-        goal_ms = opened.route.latency_goal_ms
-        return opened.request.arrived_ms + MAX_WAIT_GOAL_SHARE * goal_ms
+        goal_ms = open_request.route.latency_goal_ms
+        return open_request.request.arrived_ms + MAX_WAIT_GOAL_SHARE * goal_ms
 
-    def _schedule_check(self, opened: OpenRequest, now_ms: float) -> None:
+    def _schedule_check(self, open_request: OpenRequest, now_ms: float) -> None:
         """Schedule the next check of a request."""
-        due_ms = min(opened.end_ms, self._wait_end_ms(opened))
-        if opened.is_fan_out and opened.goal_ms > now_ms:
-            due_ms = min(due_ms, opened.goal_ms)
-        if opened.route.is_idempotent:
-            due_ms = min(due_ms, self._sender.next_late_ms(opened, now_ms))
-        self._set_next_check(opened, due_ms)
+        due_ms = min(open_request.end_ms, self._wait_end_ms(open_request))
+        if open_request.is_fan_out and open_request.goal_ms > now_ms:
+            due_ms = min(due_ms, open_request.goal_ms)
+        if open_request.route.is_idempotent:
+            due_ms = min(due_ms, self._sender.next_late_ms(open_request, now_ms))
+        self._set_next_check(open_request, due_ms)
 
     def _schedule_subrequest_check(self, subrequest: Subrequest, now_ms: float) -> None:
         """Schedule the next check of a request no later than one subrequest needs it.
@@ -240,59 +242,65 @@
         which took 40 ms of CPU time, a third of the goal. The other subrequests don't become late
         earlier than before, and a check that comes too early finds nothing to do.
         """
-        opened = subrequest.request
-        due_ms = self._wait_end_ms(opened)
-        if opened.route.is_idempotent:
+        open_request = subrequest.open_request
+        due_ms = self._wait_end_ms(open_request)
+        if open_request.route.is_idempotent:
             due_ms = min(due_ms, self._sender.late_at_ms(subrequest, now_ms))
-        if due_ms < opened.next_check_ms:
-            self._set_next_check(opened, due_ms)
+        if due_ms < open_request.next_check_ms:
+            self._set_next_check(open_request, due_ms)
 
-    def _set_next_check(self, opened: OpenRequest, due_ms: float) -> None:
-        if due_ms != opened.next_check_ms:
-            opened.next_check_ms = due_ms
-            self._wakes.add(due_ms, opened.request.key)
+    def _set_next_check(self, open_request: OpenRequest, due_ms: float) -> None:
+        if due_ms != open_request.next_check_ms:
+            open_request.next_check_ms = due_ms
+            self._wakes.add(due_ms, open_request.request.key)
 
-    def _finish_if_done(self, opened: OpenRequest, now_ms: float) -> bool:
+    def _finish_if_done(self, open_request: OpenRequest, now_ms: float) -> bool:
         """End a request that needs no more answers, or can't get enough of them."""
-        if opened.request.key not in self._open:
+        if open_request.request.key not in self._open:
             return True
-        is_over_goal = opened.is_fan_out and now_ms >= opened.goal_ms
+        is_over_goal = open_request.is_fan_out and now_ms >= open_request.goal_ms
         if (
             is_over_goal
-            and opened.request.is_delegated
-            and opened.settled < len(opened.subrequests)
+            and open_request.request.is_delegated
+            and open_request.settled < len(open_request.subrequests)
         ):
-            self.delegated.send_partial_reply(opened)
+            self.delegated.send_partial_reply(open_request)
             return False
-        if opened.settled == len(opened.subrequests) or (is_over_goal and opened.has_enough):
-            self._finish(opened, "answered" if opened.has_enough else opened.first_failure, now_ms)
+        if open_request.settled == len(open_request.subrequests) or (
+            is_over_goal and open_request.has_enough
+        ):
+            self._finish(
+                open_request,
+                "answered" if open_request.has_enough else open_request.first_failure,
+                now_ms,
+            )
             return True
-        if opened.cannot_succeed:
-            self._finish(opened, opened.first_failure, now_ms)
+        if open_request.cannot_succeed:
+            self._finish(open_request, open_request.first_failure, now_ms)
             return True
         return False
 
-    def _finish(self, opened: OpenRequest, reason: str, now_ms: float) -> None:
-        del self._open[opened.request.key]
+    def _finish(self, open_request: OpenRequest, reason: str, now_ms: float) -> None:
+        del self._open[open_request.request.key]
         # Attempts that are still open at the end may have been executed.
-        for subrequest in opened.subrequests:
+        for subrequest in open_request.subrequests:
             subrequest.may_have_run = subrequest.may_have_run or bool(subrequest.open_attempts)
-        self._cancel_all(opened, now_ms)
-        if opened.request.is_delegated:
-            sender_id = self.delegated.send_final_reply(opened)
-            self._log(opened, f"for {sender_id}", None, now_ms)
+        self._cancel_all(open_request, now_ms)
+        if open_request.request.is_delegated:
+            sender_id = self.delegated.send_final_reply(open_request)
+            self._log(open_request, f"for {sender_id}", None, now_ms)
             return
-        if self.crashes and not opened.answered:
-            self.crashes.record_ended(opened.request.fingerprint)
-        reply = decide_reply(opened, reason, self._retry_after.draw())
-        self._actions.append(SendReply(opened.request.key, reply))
-        self._log(opened, reason, reply, now_ms)
-
-    def _cancel_all(self, opened: OpenRequest, now_ms: float) -> None:
-        for service in self._sender.cancel(opened, now_ms):
+        if self.crashes and not open_request.answered:
+            self.crashes.record_ended(open_request.request.fingerprint)
+        reply = decide_reply(open_request, reason, self._retry_after.draw())
+        self._actions.append(SendReply(open_request.request.key, reply))
+        self._log(open_request, reason, reply, now_ms)
+
+    def _cancel_all(self, open_request: OpenRequest, now_ms: float) -> None:
+        for service in self._sender.cancel(open_request, now_ms):
             self._send_waiting(service, now_ms)
-        self.delegated.cancel(opened)
+        self.delegated.cancel(open_request)
 
-    def _log(self, opened: OpenRequest, reason: str, reply, now_ms: float) -> None:
-        fields, level = describe_request(opened, reason, reply, now_ms)
+    def _log(self, open_request: OpenRequest, reason: str, reply, now_ms: float) -> None:
+        fields, level = describe_request(open_request, reason, reply, now_ms)
         self._actions.append(LogDecision("request", fields, level))
--- a/packages/geraniumlead/src/geraniumlead/forwarding/subrequest_sender.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/subrequest_sender.py
@@ -36,11 +36,11 @@
         self._waiting = WaitingSubrequests()
 
     def choose_upstreams(
-        self, opened: OpenRequest, now_ms: float
+        self, open_request: OpenRequest, now_ms: float
     ) -> list[tuple[Subrequest, UpstreamRecord]]:
         """Choose upstreams; a subrequest waits if only a call slot is lacking, else it fails."""
         chosen: list[tuple[Subrequest, UpstreamRecord]] = []
-        for subrequest in opened.subrequests:
+        for subrequest in open_request.subrequests:
             upstream = None
             if not self._waiting.has(subrequest.service):
                 upstream = self._tracker.choose(subrequest, now_ms)
@@ -49,16 +49,16 @@
             elif not (
                 self._tracker.could_wait(subrequest, now_ms) and self._waiting.add(subrequest)
             ):
-                opened.settle_failed(subrequest, "no_upstream", now_ms)
+                open_request.settle_failed(subrequest, "no_upstream", now_ms)
         return chosen
 
-    def record_first(self, opened: OpenRequest, now_ms: float) -> None:
+    def record_first(self, open_request: OpenRequest, now_ms: float) -> None:
         """Count the first attempts of the subrequests that this instance sends itself.
 
         Failure: a delegated subrequest was counted by this instance and by the peer. It increased
         the budgets of both, and together they exceeded the bound of the service.
         """
-        for subrequest in opened.subrequests:
+        for subrequest in open_request.subrequests:
             if not subrequest.is_delegated:
                 self._tracker.budgets.record_first(subrequest.service, now_ms)
 
@@ -70,7 +70,7 @@
             if upstream is None:
                 self._waiting.add(subrequest)
                 break
-            subrequest.request.record_step(
+            subrequest.open_request.record_step(
                 subrequest, upstream.upstream_id, "waited for a place", now_ms
             )
             self._tracker.send(subrequest, upstream, now_ms)
@@ -78,7 +78,7 @@
         return sent
 
     def retry_delegated(
-        self, opened: OpenRequest, subrequests: list[Subrequest], why: str, now_ms: float
+        self, open_request: OpenRequest, subrequests: list[Subrequest], reason: str, now_ms: float
     ) -> None:
         """Send subrequests that a peer did not answer from this instance.
 
@@ -86,18 +86,18 @@
         separate count here one request would reach twice as many.
         """
         for subrequest in subrequests:
-            is_too_late = opened.has_enough and now_ms >= opened.goal_ms
+            is_too_late = open_request.has_enough and now_ms >= open_request.goal_ms
             upstream = None if is_too_late else self._tracker.choose(subrequest, now_ms)
             if upstream is None:
-                opened.settle_failed(subrequest, f"{why}, no upstream", now_ms)
+                open_request.settle_failed(subrequest, f"{reason}, no upstream", now_ms)
             elif not subrequest.sent_to:
                 self._tracker.budgets.record_first(subrequest.service, now_ms)
                 self._tracker.send(subrequest, upstream, now_ms)
             elif self._tracker.budgets.may_retry(subrequest.service, now_ms):
                 # The peer may have sent it already, and only its acknowledgement is late or lost.
-                self._tracker.resend(subrequest, upstream, why, now_ms)
+                self._tracker.resend(subrequest, upstream, reason, now_ms)
             else:
-                opened.settle_failed(subrequest, f"{why}, no budget", now_ms)
+                open_request.settle_failed(subrequest, f"{reason}, no budget", now_ms)
 
     def hedge_delegated(
         self, subrequests: list[Subrequest], is_overdue: bool, now_ms: float
@@ -131,45 +131,45 @@
     def handle_result(self, attempt: Attempt, result: AttemptResult, now_ms: float) -> None:
         """Settle a subrequest with the result of an attempt, or retry it."""
         subrequest = attempt.subrequest
-        opened = subrequest.request
+        open_request = subrequest.open_request
         upstream_id = attempt.upstream.upstream_id
         match result:
             case Completed() if result.is_success or not (
-                opened.is_fan_out or opened.route.is_idempotent
+                open_request.is_fan_out or open_request.route.is_idempotent
             ):
                 subrequest.may_have_run = True
                 if self._crashes:
-                    self._crashes.record_answered(opened.request.fingerprint)
-                if len(subrequest.tried) > 1 or now_ms > opened.goal_ms:
+                    self._crashes.record_answered(open_request.request.fingerprint)
+                if len(subrequest.tried) > 1 or now_ms > open_request.goal_ms:
                     what = f"answered after {now_ms - attempt.sent_ms:.0f} ms"
-                    opened.record_step(subrequest, upstream_id, what, now_ms)
-                opened.settle_answered(subrequest, result)
+                    open_request.record_step(subrequest, upstream_id, what, now_ms)
+                open_request.settle_answered(subrequest, result)
                 self._tracker.cancel(subrequest, now_ms)
                 return
             case Completed(status=status):
                 subrequest.may_have_run = True
                 subrequest.failed_answer = result
-                why = f"status {status}"
+                reason = f"status {status}"
             case NotExecuted(status=status):
-                why = f"not executed {status}"
+                reason = f"not executed {status}"
             case NotReached(detail=detail):
                 # Nothing arrived there, so neither the upstream limit nor the budget counts it.
                 subrequest.sent_to.remove(upstream_id)
-                why = f"not reached: {detail}"
+                reason = f"not reached: {detail}"
             case PossiblyExecuted(detail=detail, is_connection_lost=is_lost):
                 subrequest.may_have_run = True
-                if is_lost and not opened.answered:
-                    fingerprint = opened.request.fingerprint
+                if is_lost and not open_request.answered:
+                    fingerprint = open_request.request.fingerprint
                     self._crashes.record_lost(fingerprint, upstream_id, now_ms)
-                why = f"lost: {detail}"
-        opened.record_step(subrequest, upstream_id, why, now_ms)
-        self._retry_or_fail(subrequest, result, why, now_ms)
+                reason = f"lost: {detail}"
+        open_request.record_step(subrequest, upstream_id, reason, now_ms)
+        self._retry_or_fail(subrequest, result, reason, now_ms)
 
-    def hedge_late(self, opened: OpenRequest, now_ms: float) -> None:
+    def hedge_late(self, open_request: OpenRequest, now_ms: float) -> None:
         """Hedge the subrequests whose only attempt is late."""
-        if opened.is_hedged:
+        if open_request.is_hedged:
             return
-        for subrequest in opened.subrequests:
+        for subrequest in open_request.subrequests:
             if subrequest.is_settled or len(subrequest.open_attempts) != 1:
                 continue
             (attempt,) = subrequest.open_attempts.values()
@@ -183,10 +183,10 @@
             if upstream is not None:
                 self._tracker.resend(subrequest, upstream, "late", now_ms)
 
-    def next_late_ms(self, opened: OpenRequest, now_ms: float) -> float:
+    def next_late_ms(self, open_request: OpenRequest, now_ms: float) -> float:
         """Return when the next attempt of a request becomes late."""
         return min(
-            (self.late_at_ms(subrequest, now_ms) for subrequest in opened.subrequests),
+            (self.late_at_ms(subrequest, now_ms) for subrequest in open_request.subrequests),
             default=NEVER_MS,
         )
 
@@ -198,78 +198,80 @@
         late_ms = attempt.sent_ms + self._late_ms(attempt, now_ms)
         return late_ms if late_ms > now_ms else NEVER_MS
 
-    def cancel(self, opened: OpenRequest, now_ms: float) -> list[str]:
+    def cancel(self, open_request: OpenRequest, now_ms: float) -> list[str]:
         """Cancel all work for a request; return the services at which call slots became free."""
         freed = [
-            subrequest.service for subrequest in opened.subrequests if subrequest.open_attempts
+            subrequest.service
+            for subrequest in open_request.subrequests
+            if subrequest.open_attempts
         ]
-        for subrequest in opened.subrequests:
+        for subrequest in open_request.subrequests:
             self._waiting.remove(subrequest)
-        self._tracker.cancel_all(opened, now_ms)
+        self._tracker.cancel_all(open_request, now_ms)
         return freed
 
     def _retry_or_fail(
-        self, subrequest: Subrequest, result: AttemptResult, why: str, now_ms: float
+        self, subrequest: Subrequest, result: AttemptResult, reason: str, now_ms: float
     ) -> None:
         """Retry a subrequest after a failed attempt if that is allowed; else mark it as failed."""
         if subrequest.open_attempts or subrequest.is_delegated:
             return
-        opened = subrequest.request
-        is_repeatable = opened.route.is_idempotent or not subrequest.may_have_run
-        if not opened.is_fan_out and self._is_crashing(opened, now_ms):
+        open_request = subrequest.open_request
+        is_repeatable = open_request.route.is_idempotent or not subrequest.may_have_run
+        if not open_request.is_fan_out and self._is_crashing(open_request, now_ms):
             # A query over all shards may lose several upstreams at once in a power failure and
             # continues with the others. It counts as the cause only if none has answered.
             is_repeatable = False
-        if is_repeatable and now_ms < opened.end_ms:
+        if is_repeatable and now_ms < open_request.end_ms:
             is_free = isinstance(result, NotReached)
-            if opened.is_hedged and not is_free:
-                why = f"{why}, asked elsewhere"
+            if open_request.is_hedged and not is_free:
+                reason = f"{reason}, asked elsewhere"
             elif is_free or self._tracker.budgets.may_retry(subrequest.service, now_ms):
                 upstream = self._tracker.choose(subrequest, now_ms)
                 if upstream is not None:
-                    self._retry(subrequest, upstream, why, is_free, now_ms)
+                    self._retry(subrequest, upstream, reason, is_free, now_ms)
                     return
-                why = f"{why}, no other upstream"
+                reason = f"{reason}, no other upstream"
             else:
-                why = f"{why}, no budget"
-        opened.settle_failed(subrequest, why, now_ms)
+                reason = f"{reason}, no budget"
+        open_request.settle_failed(subrequest, reason, now_ms)
 
     def _retry(
         self,
         subrequest: Subrequest,
         upstream: UpstreamRecord,
-        why: str,
+        reason: str,
         is_free: bool,
         now_ms: float,
     ) -> None:
         if is_free:
             self._tracker.send(subrequest, upstream, now_ms)
         else:
-            self._tracker.resend(subrequest, upstream, why, now_ms)
+            self._tracker.resend(subrequest, upstream, reason, now_ms)
 
-    def _is_crashing(self, opened: OpenRequest, now_ms: float) -> bool:
+    def _is_crashing(self, open_request: OpenRequest, now_ms: float) -> bool:
         if not self._crashes:
             return False
-        return self._crashes.is_refused(opened.request.fingerprint, now_ms)
+        return self._crashes.is_refused(open_request.request.fingerprint, now_ms)
 
-    def _is_lateness_common(self, opened: OpenRequest, now_ms: float) -> bool:
+    def _is_lateness_common(self, open_request: OpenRequest, now_ms: float) -> bool:
         """Return whether lateness is common to a query's subrequests, so that none is a straggler.
 
         Failure: the first query of an instance opens a connection to each shard, and all
         subrequests seem late. Sending ninety of them again doubled the load while a fleet started.
         """
-        if not opened.is_fan_out or opened.answered >= STRAGGLER_ANSWERED_SHARE * len(
-            opened.subrequests
+        if not open_request.is_fan_out or open_request.answered >= STRAGGLER_ANSWERED_SHARE * len(
+            open_request.subrequests
         ):
             return False
-        return not self._tracker.lateness.has_latencies(opened.route, now_ms)
+        return not self._tracker.lateness.has_latencies(open_request.route, now_ms)
 
     def _late_ms(self, attempt: Attempt, now_ms: float) -> float:
         has_ample_budget = self._tracker.budgets.has_ample_budget(
             attempt.subrequest.service, now_ms
         )
         has_ample_budget = has_ample_budget and not self._is_lateness_common(
-            attempt.subrequest.request, now_ms
+            attempt.subrequest.open_request, now_ms
         )
-        goal_left_ms = attempt.subrequest.request.goal_ms - attempt.sent_ms
+        goal_left_ms = attempt.subrequest.open_request.goal_ms - attempt.sent_ms
         return self._tracker.lateness.late_ms(attempt, goal_left_ms, now_ms, has_ample_budget)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_lateness_estimator.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_lateness_estimator.py
@@ -18,8 +18,8 @@
         slow_count = round(100 * slow_share)
         for number in range(100):
             estimator.record(route, SLOW_MS if number < slow_count else MEDIAN_MS, 0.0)
-        opened = OpenRequest(build_request(), route, None, 0.0, 0.0)
-        attempt = Attempt(1, Subrequest(opened, "shard-0"), build_record("x"), 0.0, 0.0, 0.0)
+        open_request = OpenRequest(build_request(), route, None, 0.0, 0.0)
+        attempt = Attempt(1, Subrequest(open_request, "shard-0"), build_record("x"), 0.0, 0.0, 0.0)
         return estimator.late_ms(attempt, GOAL_LEFT_MS, 100.0, has_ample_budget=True)
 
     def test_without_slow_answers_the_minimum_factor_applies(self):
