--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/ablations.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/ablations.py
@@ -80,7 +80,7 @@
     def handle_answer(self, call, answer, now_ms):
         if isinstance(answer, Records):
             name = call.route.upstream_id
-            has_others = any(True for _ in self._calls.queries_at(name))
+            has_others = any(True for _ in self._calls.open_queries_at(name))
             kept[id(self), name], previous = answer, kept.get((id(self), name))
             if has_others and previous is not None:
                 answer = previous
--- a/packages/geraniumlead/src/geraniumlead/admission/fleet_shares.py
+++ b/packages/geraniumlead/src/geraniumlead/admission/fleet_shares.py
@@ -9,8 +9,8 @@
 """Key of the demand report for all peers that get no report of their own."""
 
 MAX_REPORTED_CONTRACTS = 32
-"""Contracts in one heartbeat, those with the most requests first. The others keep their equal
-share."""
+"""Maximum number of contracts in one heartbeat, those with the most requests first. The others keep
+their equal share."""
 
 MAX_BORROWERS = 64
 """Number of peers that may borrow from one lender's share of a contract at the same time."""
--- a/packages/geraniumlead/src/geraniumlead/coordination/call_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/call_tracker.py
@@ -44,7 +44,7 @@
         shard.sent_ms, shard.is_overdue, shard.parked_until_ms = now_ms, False, None
         return [step]
 
-    def queries_at(self, upstream_id: str) -> Iterator[OpenQuery]:
+    def open_queries_at(self, upstream_id: str) -> Iterator[OpenQuery]:
         """Return the queries with an open call to an upstream; scans all open calls."""
         return (
             call.query for call in self._calls.values() if call.route.upstream_id == upstream_id
--- a/packages/geraniumlead/src/geraniumlead/coordination/coordinator.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/coordinator.py
@@ -163,8 +163,8 @@
 
     def _record_connection_loss(self, call: OpenCall, now_ms: float) -> bool:
         upstream_id = call.route.upstream_id
-        present = self._calls.queries_at(upstream_id)
-        return self.guard.record_connection_loss(call.query, upstream_id, present, now_ms)
+        open_queries = self._calls.open_queries_at(upstream_id)
+        return self.guard.record_connection_loss(call.query, upstream_id, open_queries, now_ms)
 
     def _matches_plan(self, query: OpenQuery, shard: ShardState, answer: Records) -> bool:
         return (answer.index_version, answer.shard) == (
--- a/packages/geraniumlead/src/geraniumlead/coordination/crash_guard.py
+++ b/packages/geraniumlead/src/geraniumlead/coordination/crash_guard.py
@@ -49,8 +49,8 @@
         however many calls it ended.
         """
         if not self._quarantine.is_known_crash(upstream_id, now_ms):
-            present = {found.fingerprint for found in open_queries}
-            self._quarantine.record_crash(upstream_id, present | {query.fingerprint}, now_ms)
+            fingerprints = {found.fingerprint for found in open_queries}
+            self._quarantine.record_crash(upstream_id, fingerprints | {query.fingerprint}, now_ms)
         if self._quarantine.record_lost_call(query.fingerprint, upstream_id, now_ms):
             return False
         return self._quarantine.may_retry(query.fingerprint, query.request.deadline_ms, now_ms)
--- a/packages/geraniumlead/src/geraniumlead/documents/index.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/index.py
@@ -1,5 +1,3 @@
-"""Define one version of a service's index."""
-
 from typing import Annotated, Literal
 
 from msgspec import Meta, Struct
--- a/packages/geraniumlead/src/geraniumlead/documents/instance_list.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/instance_list.py
@@ -1,5 +1,3 @@
-"""Define the list of a data centre's instances."""
-
 from typing import Annotated
 
 from msgspec import Meta, Struct
--- a/packages/geraniumlead/src/geraniumlead/documents/shard.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/shard.py
@@ -1,5 +1,3 @@
-"""Define one shard of an index version."""
-
 from typing import Annotated
 
 from msgspec import Meta, Struct
--- a/packages/geraniumlead/src/geraniumlead/documents/traffic_class.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/traffic_class.py
@@ -1,5 +1,3 @@
-"""Define one class of a customer's traffic."""
-
 from typing import Annotated
 
 from msgspec import Meta, Struct
--- a/packages/geraniumlead/src/geraniumlead/documents/upstream_list.py
+++ b/packages/geraniumlead/src/geraniumlead/documents/upstream_list.py
@@ -1,5 +1,3 @@
-"""Define the list of a data centre's upstreams."""
-
 from typing import Annotated
 
 from msgspec import Meta, Struct
--- a/packages/geraniumlead/src/geraniumlead/forwarding/aggregator_chooser.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/aggregator_chooser.py
@@ -85,7 +85,7 @@
         aggregators = list(islice(able, count))
         if own_id in aggregators:
             return None
-        return min((peers[name] for name in aggregators), key=self.load_of, default=None)
+        return min((peers[name] for name in aggregators), key=self.load_sort_key, default=None)
 
     def _rank(self, group_name: str, data_centre: str, peers: Mapping[str, KnownPeer]) -> list[str]:
         """Return the instances of a data centre, ranked for a shard group."""
@@ -114,7 +114,7 @@
 
     def can_serve(self, peer: KnownPeer, open_request: OpenRequest, now_ms: float) -> bool:
         """Return whether a peer can probably serve a request now."""
-        is_fresh = now_ms - peer.heard_ms < MAX_HELLO_AGE_MS
+        is_fresh = now_ms - peer.latest_hello_ms < MAX_HELLO_AGE_MS
         serves = peer.is_ready and peer.version >= open_request.configuration.version
         return (
             (serves or not is_fresh)
@@ -131,7 +131,7 @@
             return True
         return peer.acknowledgement_timeout_ms <= MAX_ACK_GOAL_SHARE * goal_left_ms
 
-    def load_of(self, peer: KnownPeer) -> tuple[int, float]:
+    def load_sort_key(self, peer: KnownPeer) -> tuple[int, float]:
         """Return the load of a peer as a sort key, with ties broken at random."""
         return peer.open_delegations, self._random.random()
 
--- a/packages/geraniumlead/src/geraniumlead/forwarding/attempt_tracker.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/attempt_tracker.py
@@ -56,7 +56,7 @@
         self, subrequest: Subrequest, now_ms: float, skip_avoided: bool = False
     ) -> UpstreamRecord | None:
         """Return the upstream for the next attempt of a subrequest, or None."""
-        open_request = subrequest.open_request
+        open_request = subrequest.request
         service = open_request.configuration.services.get(subrequest.service)
         if service is None or len(subrequest.sent_to) >= open_request.route.max_upstreams:
             return None
@@ -72,7 +72,7 @@
 
     def could_wait(self, subrequest: Subrequest, now_ms: float) -> bool:
         """Return whether a subrequest only lacks a free call slot at an upstream."""
-        open_request = subrequest.open_request
+        open_request = subrequest.request
         if subrequest.service not in open_request.configuration.services:
             return False
         return self.chooser.has_untried(
@@ -81,7 +81,7 @@
 
     def send(self, subrequest: Subrequest, upstream: UpstreamRecord, now_ms: float) -> None:
         """Send a subrequest to an upstream."""
-        open_request = subrequest.open_request
+        open_request = subrequest.request
         self._next_id += 1
         relative_rtt_ms = self.relative_rtts.relative_rtt_ms(upstream.data_centre)
         second_relative_rtt_ms = self.chooser.second_relative_rtt_ms(
@@ -104,7 +104,7 @@
         self, subrequest: Subrequest, upstream: UpstreamRecord, reason: str, now_ms: float
     ) -> None:
         """Send a subrequest again and charge the service's budget of extra attempts."""
-        open_request = subrequest.open_request
+        open_request = subrequest.request
         self.budgets.record_extra(subrequest.service, now_ms)
         open_request.extra_attempts += 1
         open_request.record_step(subrequest, upstream.upstream_id, f"again: {reason}", now_ms)
@@ -127,7 +127,7 @@
             estimate = self.chooser.estimate_of(attempt.upstream.upstream_id)
             estimate.in_flight -= 1
             elapsed_ms = now_ms - attempt.sent_ms - attempt.relative_rtt_ms
-            route = subrequest.open_request.route
+            route = subrequest.request.route
             median_latency_ms = self.lateness.median_latency_ms(route, now_ms)
             estimate.record_lower_bound(elapsed_ms / median_latency_ms, now_ms)
             if attempt.is_overdue and subrequest.answer is not None:
@@ -150,7 +150,7 @@
     def _update_estimates(self, attempt: Attempt, result: AttemptResult, now_ms: float) -> None:
         estimate = self.chooser.estimate_of(attempt.upstream.upstream_id)
         estimate.in_flight -= 1
-        route = attempt.subrequest.open_request.route
+        route = attempt.subrequest.request.route
         upstream = attempt.upstream
         match result:
             case NotReached(is_timeout=True):
--- a/packages/geraniumlead/src/geraniumlead/forwarding/delegation_planner.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/delegation_planner.py
@@ -22,7 +22,7 @@
 link and processor; those of ninety take a third of the shortest latency goals."""
 
 SHARD_GROUP_SIZE = 24
-"""Number of shards of a data centre that one peer is asked for when a query is split into shard
+"""Number of shards of a data centre that are delegated to one peer when a query is split into shard
 groups."""
 
 
@@ -86,14 +86,14 @@
             elif not self._has_near(subrequest.service):
                 far.append(subrequest)
         if len(far) <= SHARD_GROUP_SIZE:
-            found = self._assign_far(open_request, far, now_ms)
+            assignments = self._assign_far(open_request, far, now_ms)
         else:
-            found = self._assign_groups(
+            assignments = self._assign_groups(
                 open_request, self._far_by_data_centre(open_request, far), now_ms
             )
         if sum(map(len, near.values())) > MAX_LOCAL_SHARDS:
-            found += self._assign_groups(open_request, near, now_ms)
-        return found
+            assignments += self._assign_groups(open_request, near, now_ms)
+        return assignments
 
     def _assign_far(
         self, open_request: OpenRequest, subrequests: Sequence[Subrequest], now_ms: float
@@ -114,7 +114,7 @@
                 and self._aggregators.can_serve(peer, open_request, now_ms)
             ]
             if peers:
-                peer = min(peers, key=self._aggregators.load_of)
+                peer = min(peers, key=self._aggregators.load_sort_key)
                 return [Assignment(peer, groups[self._region_of(peer.contact.data_centre)])]
         return []
 
@@ -154,7 +154,7 @@
         group keep their connections.
         """
         sizes = self._shards_by_data_centre(open_request)
-        found = []
+        assignments = []
         for data_centre, subrequests in subrequests_by_data_centre.items():
             count = ceil(sizes[data_centre] / SHARD_GROUP_SIZE)
             for group_name, members in _shard_groups_of(subrequests, count).items():
@@ -162,8 +162,8 @@
                     continue
                 peer = self._aggregators.find(group_name, data_centre, open_request, now_ms)
                 if peer is not None:
-                    found.append(Assignment(peer, members))
-        return found
+                    assignments.append(Assignment(peer, members))
+        return assignments
 
     def _shards_by_data_centre(self, open_request: OpenRequest) -> Counter[str]:
         """Return how many shards of a query have an upstream in each data centre."""
@@ -191,14 +191,14 @@
 
     def _regions_of(self, service: str, route: Route) -> set[str]:
         """Return the other regions in which a service has an upstream that may be used."""
-        found = {
+        regions = {
             region
             for record in self._upstream_view.usable(service)
             if (region := self._region_of(record.data_centre)) is not None
         }
         if route.allowed_regions:
-            found &= route.allowed_regions
-        return found - {self._settings.region}
+            regions &= route.allowed_regions
+        return regions - {self._settings.region}
 
     def _region_of(self, data_centre: str) -> str | None:
         return self._settings.regions.get(data_centre)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/final_reply.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/final_reply.py
@@ -25,9 +25,9 @@
         case _:
             # A split route whose weights are all zero has no subrequest.
             for subrequest in open_request.subrequests:
-                found = subrequest.answer or subrequest.failed_answer
-                if found is not None:
-                    return RelayedReply(found)
+                answer = subrequest.answer or subrequest.failed_answer
+                if answer is not None:
+                    return RelayedReply(answer)
     if not open_request.may_have_run:
         return OwnReply(UNAVAILABLE, reason, retry_after_ms)
     status = GATEWAY_TIMEOUT if reason == "timeout" else BAD_GATEWAY
--- a/packages/geraniumlead/src/geraniumlead/forwarding/isolation_detector.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/isolation_detector.py
@@ -1,6 +1,6 @@
 MIN_UNREACHABLE = 3
-"""Unreachable upstreams from which on an instance may count as isolated: one or two may have lost
-power themselves."""
+"""Minimum number of unreachable upstreams with which an instance may count as isolated: one or two
+may have lost power themselves."""
 
 ISOLATED_AFTER_MS = 500.0
 """Time without an answer from any upstream after which this instance counts as isolated. One that
--- a/packages/geraniumlead/src/geraniumlead/forwarding/lateness_estimator.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/lateness_estimator.py
@@ -79,7 +79,7 @@
         While the budget is low, the second attempt is sent as late as it can still meet the goal:
         most attempts that are slightly late are normal work and are still answered.
         """
-        route = attempt.subrequest.open_request.route
+        route = attempt.subrequest.request.route
         found_ms = self._detector.delay_ms(route.name, LATE_SHARE, now_ms)
         second_share = SECOND_IN_TIME_SHARE if has_ample_budget else LOW_BUDGET_SECOND_IN_TIME_SHARE
         second_ms = self._detector.delay_ms(route.name, 1.0 - second_share, now_ms)
@@ -95,8 +95,8 @@
             return late_ms
         if not has_ample_budget:
             return max(late_ms, latest_ms)
-        least_ms = attempt.relative_rtt_ms + MIN_LATE_FACTOR * median_latency_ms
-        return max(min(late_ms, latest_ms), least_ms)
+        min_ms = attempt.relative_rtt_ms + MIN_LATE_FACTOR * median_latency_ms
+        return max(min(late_ms, latest_ms), min_ms)
 
     def deadlines_of(
         self, request: ForwardedRequest, route: Route, margin_ms: float
--- a/packages/geraniumlead/src/geraniumlead/forwarding/open_request.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/open_request.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """An open request to an upstream.
+    """A subrequest that was sent to one upstream, until its result is known.
 
     ``relative_rtt_ms`` is the relative RTT to the upstream's data centre and
     ``second_relative_rtt_ms`` that to the nearest of the other upstreams.
@@ -37,7 +37,7 @@
     while a peer is responsible for the subrequest.
     """
 
-    open_request: "OpenRequest"
+    request: "OpenRequest"
     service: str
     open_attempts: dict[int, Attempt] = field(default_factory=dict)
     tried: set[str] = field(default_factory=set)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/published_state.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/published_state.py
@@ -126,13 +126,13 @@
             self._lost_since_ms = None
         self.answered_ms = now_ms
 
-    def _apply_configuration(self, found: PublishedConfiguration, now_ms: float) -> None:
+    def _apply_configuration(self, configuration: PublishedConfiguration, now_ms: float) -> None:
         current = self.configuration
-        if current is not None and found.version <= current.version:
+        if current is not None and configuration.version <= current.version:
             return
-        self.configuration = found
+        self.configuration = configuration
         before = None if current is None else current.version
-        self._log("configuration", {"version": found.version, "before": before})
+        self._log("configuration", {"version": configuration.version, "before": before})
 
     def _apply_upstream(self, record: UpstreamRecord, now_ms: float) -> None:
         before = self._upstream_view.put(record)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/relative_rtts.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/relative_rtts.py
@@ -52,15 +52,15 @@
             regions = self._settings.regions
             is_remote = regions.get(data_centre) != self._settings.region
             return DEFAULT_REMOTE_RTT_MS if is_remote else 0.0
-        found = (
+        min_latencies_ms = (
             self._min_latency_ms(name) for name in self._current.keys() | self._previous.keys()
         )
-        return min_ms - min(value for value in found if value is not None)
+        return min_ms - min(value for value in min_latencies_ms if value is not None)
 
     def _min_latency_ms(self, data_centre: str) -> float | None:
-        found = [
+        latencies_ms = [
             window[data_centre]
             for window in (self._current, self._previous)
             if data_centre in window
         ]
-        return min(found) if found else None
+        return min(latencies_ms) if latencies_ms else None
--- a/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/request_runner.py
@@ -27,7 +27,7 @@
 
 
 class RequestRunner:
-    """The open requests of this instance, each of which ends with exactly one reply.
+    """Runs the open requests of this instance, and ends each with exactly one reply.
 
     This is the only layer that retries, so that the attempts of several layers never multiply. A
     request that may have been executed is never reported as not executed. A request that is not
@@ -156,7 +156,7 @@
         subrequest = attempt.subrequest
         if not subrequest.is_settled:
             self._sender.handle_result(attempt, result, now_ms)
-        if not self._finish_if_done(subrequest.open_request, now_ms):
+        if not self._finish_if_done(subrequest.request, now_ms):
             self._schedule_subrequest_check(subrequest, now_ms)
         self._send_waiting(subrequest.service, now_ms)
 
@@ -242,7 +242,7 @@
         which took 40 ms of CPU time, a third of the goal. The other subrequests don't become late
         earlier than before, and a check that comes too early finds nothing to do.
         """
-        open_request = subrequest.open_request
+        open_request = subrequest.request
         due_ms = self._wait_end_ms(open_request)
         if open_request.route.is_idempotent:
             due_ms = min(due_ms, self._sender.late_at_ms(subrequest, now_ms))
--- a/packages/geraniumlead/src/geraniumlead/forwarding/subrequest_sender.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/subrequest_sender.py
@@ -70,7 +70,7 @@
             if upstream is None:
                 self._waiting.add(subrequest)
                 break
-            subrequest.open_request.record_step(
+            subrequest.request.record_step(
                 subrequest, upstream.upstream_id, "waited for a place", now_ms
             )
             self._tracker.send(subrequest, upstream, now_ms)
@@ -131,7 +131,7 @@
     def handle_result(self, attempt: Attempt, result: AttemptResult, now_ms: float) -> None:
         """Settle a subrequest with the result of an attempt, or retry it."""
         subrequest = attempt.subrequest
-        open_request = subrequest.open_request
+        open_request = subrequest.request
         upstream_id = attempt.upstream.upstream_id
         match result:
             case Completed() if result.is_success or not (
@@ -216,7 +216,7 @@
         """Retry a subrequest after a failed attempt if that is allowed; else mark it as failed."""
         if subrequest.open_attempts or subrequest.is_delegated:
             return
-        open_request = subrequest.open_request
+        open_request = subrequest.request
         is_repeatable = open_request.route.is_idempotent or not subrequest.may_have_run
         if not open_request.is_fan_out and self._is_crashing(open_request, now_ms):
             # A query over all shards may lose several upstreams at once in a power failure and
@@ -271,7 +271,7 @@
             attempt.subrequest.service, now_ms
         )
         has_ample_budget = has_ample_budget and not self._is_lateness_common(
-            attempt.subrequest.open_request, now_ms
+            attempt.subrequest.request, now_ms
         )
-        goal_left_ms = attempt.subrequest.open_request.goal_ms - attempt.sent_ms
+        goal_left_ms = attempt.subrequest.request.goal_ms - attempt.sent_ms
         return self._tracker.lateness.late_ms(attempt, goal_left_ms, now_ms, has_ample_budget)
--- a/packages/geraniumlead/src/geraniumlead/forwarding/waiting_subrequests.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/waiting_subrequests.py
@@ -59,5 +59,5 @@
 
 
 def _urgency(subrequest: Subrequest, now_ms: float) -> tuple[bool, int, float]:
-    open_request = subrequest.open_request
+    open_request = subrequest.request
     return now_ms >= open_request.goal_ms, open_request.route.priority, open_request.goal_ms
--- a/packages/geraniumlead/src/geraniumlead/instance/freshness_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/freshness_handler.py
@@ -86,10 +86,10 @@
 
     def _choose_probe_targets(self) -> list[str]:
         parts = self._parts
-        home = parts.settings.data_centre
+        own_data_centre = parts.settings.data_centre
         peers = list(parts.membership.peers.values())
-        local = [peer.entry.instance_id for peer in peers if peer.data_centre == home]
-        remote = [peer.entry.instance_id for peer in peers if peer.data_centre != home]
+        local = [peer.entry.instance_id for peer in peers if peer.data_centre == own_data_centre]
+        remote = [peer.entry.instance_id for peer in peers if peer.data_centre != own_data_centre]
         return [
             *parts.random.sample(local, min(LOCAL_PROBES, len(local))),
             *parts.random.sample(remote, min(REMOTE_PROBES, len(remote))),
--- a/packages/geraniumlead/src/geraniumlead/instance/heartbeat_handler.py
+++ b/packages/geraniumlead/src/geraniumlead/instance/heartbeat_handler.py
@@ -5,8 +5,8 @@
 from geraniumlead.peer_messages import ANY_NONCE, Heartbeat, Probe
 
 MAX_INDIVIDUAL_REPORTS = 16
-"""Peers that get a heartbeat because a share is lent to them, in addition to those whose turn
-it is."""
+"""Maximum number of peers that get a heartbeat because a share is lent to them, in addition to
+those whose turn it is."""
 
 
 class HeartbeatHandler:
--- a/packages/geraniumlead/src/geraniumlead/membership/membership.py
+++ b/packages/geraniumlead/src/geraniumlead/membership/membership.py
@@ -106,7 +106,7 @@
         """Record a message of any kind from a peer: it is alive, and its messages arrive here."""
         peer = self.peers.get(sender_id)
         if peer is not None:
-            peer.heard_ms = now_ms
+            peer.latest_message_ms = now_ms
             peer.unanswered_since_ms = None
             self._unanswered.pop(sender_id, None)
 
@@ -154,7 +154,7 @@
             return False
         if not self._receives_every_heartbeat(instance_id):
             return True
-        return now_ms - peer.heard_ms <= self._peer_timeout_ms
+        return now_ms - peer.latest_message_ms <= self._peer_timeout_ms
 
     def local_peers(self) -> list[Peer]:
         """Return the listed peers of this instance's own data centre."""
--- a/packages/geraniumlead/src/geraniumlead/membership/peer.py
+++ b/packages/geraniumlead/src/geraniumlead/membership/peer.py
@@ -13,7 +13,7 @@
 
     entry: InstanceEntry
     data_centre: str
-    heard_ms: float = float("-inf")
+    latest_message_ms: float = float("-inf")
     unanswered_since_ms: float | None = None
     incarnation: str = ""
     left_incarnation: str | None = None
--- a/packages/geraniumlead/src/geraniumlead/membership/platform_freshness.py
+++ b/packages/geraniumlead/src/geraniumlead/membership/platform_freshness.py
@@ -40,7 +40,7 @@
         self.record_answer(now_ms - age_ms - RELAY_ALLOWANCE_MS)
 
     def record_answer(self, answered_ms: float) -> None:
-        """Record that the platform answered at ``heard_ms``, here or at a peer."""
+        """Record that the platform answered at ``answered_ms``, here or at a peer."""
         if self.answered_ms is None or answered_ms > self.answered_ms:
             self.answered_ms = answered_ms
 
--- a/packages/geraniumlead/src/geraniumlead/peering/contact_selector.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/contact_selector.py
@@ -29,9 +29,9 @@
         """Stop announcing a peer."""
         self._gossiped.remove(instance_id)
 
-    def sample(self, heard: Sequence[KnownPeer]) -> tuple[PeerContact, ...]:
+    def sample(self, peers: Sequence[KnownPeer]) -> tuple[PeerContact, ...]:
         """Return a random sample of peers that sent hellos, for one that knows no peers."""
-        chosen = self._random.sample(heard, min(MAX_SAMPLED_CONTACTS, len(heard)))
+        chosen = self._random.sample(peers, min(MAX_SAMPLED_CONTACTS, len(peers)))
         return tuple(peer.contact for peer in chosen)
 
     def next_contacts(
--- a/packages/geraniumlead/src/geraniumlead/peering/directory.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/directory.py
@@ -91,7 +91,7 @@
         self._seeds = tuple(address for address in seeds if address != self._contact.address)
 
     def is_live(self, peer: KnownPeer, now_ms: float) -> bool:
-        """Return whether a peer was heard from or named by another lately, and sent no goodbye."""
+        """Return whether a peer sent a hello or was named lately, and has not sent a goodbye."""
         return not peer.has_left and self._may_be_alive(peer, now_ms)
 
     def is_reachable(self, peer: KnownPeer, now_ms: float) -> bool:
@@ -142,8 +142,8 @@
 
     def instance_count(self, now_ms: float) -> int:
         """Return how many instances may be sharing the limits of the fleet, this one included."""
-        heard = 1 + sum(1 for peer in self.peers.values() if self._may_be_alive(peer, now_ms))
-        highest = self._highest_count.record(heard, now_ms)
+        live_count = 1 + sum(1 for peer in self.peers.values() if self._may_be_alive(peer, now_ms))
+        highest = self._highest_count.record(live_count, now_ms)
         if not self._is_starting(now_ms):
             return highest
         reported = max((peer.count for peer in self.peers.values()), default=0)
@@ -188,14 +188,14 @@
         instance_id = hello.contact.instance_id
         if instance_id == self._contact.instance_id:
             return []
-        peers_to_greet = []
+        peers_needing_hello = []
         peer = self.peers.get(instance_id)
-        if peer is None or peer.heard_ms == float("-inf") or hello.asks_names:
+        if peer is None or peer.latest_hello_ms == float("-inf") or hello.asks_names:
             peer = self._add_or_refresh(hello.contact, now_ms)
             peer.asks_names = hello.asks_names
-            peers_to_greet.append(peer)
+            peers_needing_hello.append(peer)
         peer.contact = hello.contact
-        peer.heard_ms = now_ms
+        peer.latest_hello_ms = now_ms
         if peer.incarnation != hello.incarnation:
             is_restart = peer.incarnation != 0
             peer.incarnation = hello.incarnation
@@ -215,10 +215,10 @@
             if contact.instance_id == self._contact.instance_id:
                 continue
             is_new = contact.instance_id not in self.peers
-            found = self._add_or_refresh(contact, now_ms)
+            known_peer = self._add_or_refresh(contact, now_ms)
             if is_new and not self._is_large_fleet:
-                peers_to_greet.append(found)
-        return peers_to_greet
+                peers_needing_hello.append(known_peer)
+        return peers_needing_hello
 
     def handle_goodbye(self, sender_id: str, goodbye: Goodbye) -> None:
         """Record that a peer takes no new work."""
@@ -259,20 +259,20 @@
     def _is_starting(self, now_ms: float) -> bool:
         return now_ms - self._started_ms < STARTUP_MS
 
-    def _was_heard_directly(self, peer: KnownPeer, now_ms: float) -> bool:
+    def _sent_hello_recently(self, peer: KnownPeer, now_ms: float) -> bool:
         """Return whether a peer sent a hello to this instance lately, and no goodbye.
 
         Other peers are named by gossip only, which ends after a number of hellos.
 
         Failure: two instances that name a dead one to each other would keep it alive for ever.
         """
-        return not peer.has_left and now_ms - peer.heard_ms < self._rings.peer_timeout_ms(
+        return not peer.has_left and now_ms - peer.latest_hello_ms < self._rings.peer_timeout_ms(
             peer.contact.instance_id
         )
 
     def _may_be_alive(self, peer: KnownPeer, now_ms: float) -> bool:
-        """Return whether a peer was heard from lately, or named by another."""
-        return now_ms - max(peer.heard_ms, peer.mentioned_ms) < self._rings.peer_timeout_ms(
+        """Return whether a peer sent a hello lately, or was named by another."""
+        return now_ms - max(peer.latest_hello_ms, peer.mentioned_ms) < self._rings.peer_timeout_ms(
             peer.contact.instance_id
         )
 
@@ -281,7 +281,7 @@
             forget_ms = max(
                 FORGET_AFTER_MS, 2.0 * self._rings.peer_timeout_ms(peer.contact.instance_id)
             )
-            if now_ms - max(peer.heard_ms, peer.mentioned_ms) > forget_ms:
+            if now_ms - max(peer.latest_hello_ms, peer.mentioned_ms) > forget_ms:
                 del self.peers[instance_id]
                 self._contact_selector.forget(instance_id)
 
@@ -297,15 +297,15 @@
         """Return the contacts that a hello carries."""
         is_first = peer is not None and peer.hello_sent_ms == float("-inf")
         if (is_first and not self._is_large_fleet) or (peer is not None and peer.asks_names):
-            heard = [
-                found for found in self.peers.values() if self._was_heard_directly(found, now_ms)
+            peers = [
+                found for found in self.peers.values() if self._sent_hello_recently(found, now_ms)
             ]
-            return self._contact_selector.sample(heard)
+            return self._contact_selector.sample(peers)
         if not self._is_large_fleet:
             return ()
         random_peer = self._random.choice(list(self.peers.values()))
         return self._contact_selector.next_contacts(
-            self.peers, random_peer if self._was_heard_directly(random_peer, now_ms) else None
+            self.peers, random_peer if self._sent_hello_recently(random_peer, now_ms) else None
         )
 
     def _create_hello_message(
@@ -313,7 +313,7 @@
     ) -> Hello:
         known = self._contacts_for(peer, now_ms)
         clock_ms = None if peer is None else peer.latest_clock_ms
-        held_ms = 0.0 if clock_ms is None else now_ms - peer.heard_ms
+        held_ms = 0.0 if clock_ms is None else now_ms - peer.latest_hello_ms
         return Hello(
             self._contact,
             self._incarnation,
--- a/packages/geraniumlead/src/geraniumlead/peering/heartbeat_rings.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/heartbeat_rings.py
@@ -11,10 +11,10 @@
 
 NEAR_PEERS_PER_HEARTBEAT = 4
 FAR_PEERS_PER_HEARTBEAT = 2
-"""Peers of the same region and of other regions that one heartbeat goes to in a large fleet.
-Heartbeats rotate over all peers, and the timeout grows with the length of a rotation. Each instance
-hears from six others a second, at 2 KB/s for any size of the fleet. A dead peer is detected sooner
-when a request is sent to it."""
+"""Number of peers of the same region and of other regions that one heartbeat goes to in a large
+fleet. Heartbeats rotate over all peers, and the timeout grows with the length of a rotation. Each
+instance receives hellos of six others a second, at 2 KB/s for any size of the fleet. A dead peer is
+detected sooner when a request is sent to it."""
 
 PEERS_PER_HEARTBEAT = NEAR_PEERS_PER_HEARTBEAT + FAR_PEERS_PER_HEARTBEAT
 """Largest number of peers for which every heartbeat goes to all: a fleet of seven instances."""
--- a/packages/geraniumlead/src/geraniumlead/peering/known_peer.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/known_peer.py
@@ -35,7 +35,7 @@
     """
 
     contact: PeerContact
-    heard_ms: float = float("-inf")
+    latest_hello_ms: float = float("-inf")
     mentioned_ms: float = float("-inf")
     hello_sent_ms: float = float("-inf")
     echoed_ms: float = float("-inf")
--- a/packages/geraniumlead/src/geraniumlead/peering/store_watch.py
+++ b/packages/geraniumlead/src/geraniumlead/peering/store_watch.py
@@ -7,7 +7,7 @@
 from geraniumlead.peering.known_peer import KnownPeer
 
 WATCHERS_PER_GROUP = 2
-"""Instances of a group that watch the store, so that any one of them may fail unnoticed."""
+"""Number of instances of a group that watch the store, so that any one may fail unnoticed."""
 
 MIN_GROUP_SIZE = 5
 """Smallest group in which two instances watch for all. In a smaller one all watch: relaying would
@@ -80,8 +80,8 @@
                 region and self._regions.get(data_centre) == region
             ):
                 by_data_centre.setdefault(data_centre, []).append(peer)
-        neighbours = by_data_centre.pop(self._data_centre)
-        if len(neighbours) + 1 >= MIN_GROUP_SIZE or region is None:
-            return self._data_centre, neighbours
+        local_peers = by_data_centre.pop(self._data_centre)
+        if len(local_peers) + 1 >= MIN_GROUP_SIZE or region is None:
+            return self._data_centre, local_peers
         small = [peers for peers in by_data_centre.values() if len(peers) < MIN_GROUP_SIZE]
-        return region, [*neighbours, *chain.from_iterable(small)]
+        return region, [*local_peers, *chain.from_iterable(small)]
--- a/packages/geraniumlead/src/geraniumlead/settings/limits.py
+++ b/packages/geraniumlead/src/geraniumlead/settings/limits.py
@@ -1,5 +1,3 @@
-"""Define the limits on the requests that one instance accepts."""
-
 from typing import Annotated
 
 from msgspec import Meta, Struct
--- a/packages/geraniumlead/src/geraniumlead/settings/listen.py
+++ b/packages/geraniumlead/src/geraniumlead/settings/listen.py
@@ -1,5 +1,3 @@
-"""Define the addresses on which an instance listens."""
-
 from typing import Annotated
 
 from msgspec import Meta, Struct
--- a/packages/geraniumlead/tests/core_tests/admission/test_controller.py
+++ b/packages/geraniumlead/tests/core_tests/admission/test_controller.py
@@ -19,21 +19,21 @@
     def test_rate_and_burst(self):
         contract = build_contract(rate_per_s=10.0, burst_requests=3)
         controller = build_controller(build_view(contract))
-        found = [controller.offer(build_request(number), 0.0) for number in range(5)]
-        self.assertEqual([RefusalReason.RATE] * 2, reasons_of(found))
+        decisions = [controller.offer(build_request(number), 0.0) for number in range(5)]
+        self.assertEqual([RefusalReason.RATE] * 2, reasons_of(decisions))
         self.assertIsInstance(controller.offer(build_request(9), 100.0), Admitted)
         self.assertIsInstance(controller.offer(build_request(10), 150.0), Refused)
 
     def test_instance_enforces_its_share(self):
         contract = build_contract(burst_requests=8, concurrent_requests=100)
         controller = build_controller(build_view(contract, instance_count=4))
-        found = [controller.offer(build_request(number), 0.0) for number in range(5)]
-        self.assertEqual([RefusalReason.RATE] * 3, reasons_of(found))
+        decisions = [controller.offer(build_request(number), 0.0) for number in range(5)]
+        self.assertEqual([RefusalReason.RATE] * 3, reasons_of(decisions))
 
     def test_concurrent_requests(self):
         controller = build_controller(build_view(build_contract(concurrent_requests=2)))
-        found = [controller.offer(build_request(number), 0.0) for number in range(3)]
-        self.assertEqual([RefusalReason.CONCURRENCY], reasons_of(found))
+        decisions = [controller.offer(build_request(number), 0.0) for number in range(3)]
+        self.assertEqual([RefusalReason.CONCURRENCY], reasons_of(decisions))
         controller.release("r0", 5.0)
         self.assertIsInstance(controller.offer(build_request(3), 5.0), Admitted)
 
@@ -160,14 +160,14 @@
 
     def test_one_contract_leaves_room_in_the_queue(self):
         started = self.fill("audit")
-        found = [self.offer(class_name="audit") for _ in range(60)]
-        self.assertIn(RefusalReason.QUEUE_FULL, reasons_of(found))
+        decisions = [self.offer(class_name="audit") for _ in range(60)]
+        self.assertIn(RefusalReason.QUEUE_FULL, reasons_of(decisions))
         self.assertIsInstance(self.offer(class_name="audit", customer="other"), Queued)
         self.assertTrue(started)
 
     def test_hot_key_is_capped(self):
-        found = [self.offer(key="k") for _ in range(40)]
-        self.assertEqual({RefusalReason.HOT_KEY}, set(reasons_of(found)))
+        decisions = [self.offer(key="k") for _ in range(40)]
+        self.assertEqual({RefusalReason.HOT_KEY}, set(reasons_of(decisions)))
         self.assertIsInstance(self.offer(key="other"), Admitted)
 
     def test_queued_request_is_refused_as_soon_as_it_cannot_end_in_time(self):
--- a/packages/geraniumlead/tests/core_tests/admission/test_instant_failures.py
+++ b/packages/geraniumlead/tests/core_tests/admission/test_instant_failures.py
@@ -21,12 +21,12 @@
     def test_failures_without_any_answer_are_not_observed(self):
         controller = build_controller(build_view())
         missing = tuple(MissingShard(shard, MissingReason.NO_REPLICA) for shard in range(4))
-        nothing = Failed("too few shards answered", Coverage(4, 0, missing))
+        unanswered = Failed("too few shards answered", Coverage(4, 0, missing))
         number = 0
         for window in range(WINDOWS):
             for _ in range(PER_WINDOW):
                 now_ms = window * 1_000.0
                 request = build_request(number, now_ms)
                 self.assertIsInstance(controller.offer(request, now_ms), Admitted)
-                controller.release(request.request_id, now_ms, nothing)
+                controller.release(request.request_id, now_ms, unanswered)
                 number += 1
--- a/packages/geraniumlead/tests/core_tests/checks/test_check_document.py
+++ b/packages/geraniumlead/tests/core_tests/checks/test_check_document.py
@@ -71,23 +71,23 @@
 class ListCheckTests(TestCase):
     def test_finds_duplicate_upstreams_and_addresses(self):
         twice = [build_upstream(1), build_upstream(1)]
-        found = UpstreamListDocument(data_centre="noord", upstreams=twice)
-        self.assertEqual(find_ids(found), ["GL-U001", "GL-U002"])
+        document = UpstreamListDocument(data_centre="noord", upstreams=twice)
+        self.assertEqual(find_ids(document), ["GL-U001", "GL-U002"])
 
     def test_finds_a_port_that_does_not_exist(self):
         upstream = build_upstream(address="127.0.0.1:70000")
-        found = UpstreamListDocument(data_centre="noord", upstreams=[upstream])
-        self.assertEqual(find_ids(found), ["GL-U003"])
+        document = UpstreamListDocument(data_centre="noord", upstreams=[upstream])
+        self.assertEqual(find_ids(document), ["GL-U003"])
 
     def test_finds_contradictory_limits(self):
         upstream = build_upstream(slots=4, connections=2, cold_allowance=5)
-        found = UpstreamListDocument(data_centre="noord", upstreams=[upstream])
-        self.assertEqual(find_ids(found), ["GL-U004", "GL-U005"])
+        document = UpstreamListDocument(data_centre="noord", upstreams=[upstream])
+        self.assertEqual(find_ids(document), ["GL-U004", "GL-U005"])
 
     def test_finds_duplicate_instances(self):
         twice = [build_instance(1), build_instance(1)]
-        found = InstanceListDocument(data_centre="noord", instances=twice)
-        self.assertEqual(find_ids(found), ["GL-N001", "GL-N002"])
+        document = InstanceListDocument(data_centre="noord", instances=twice)
+        self.assertEqual(find_ids(document), ["GL-N001", "GL-N002"])
 
 
 class RefusedDocumentTests(TestCase):
--- a/packages/geraniumlead/tests/core_tests/file_checks/test_check_text.py
+++ b/packages/geraniumlead/tests/core_tests/file_checks/test_check_text.py
@@ -12,8 +12,8 @@
 def find(value, **options) -> list[tuple[str, str]]:
     """Return id and path of each finding in the JSON text of a value."""
     text = value if isinstance(value, bytes) else encode(value)
-    found = check_text("file", text, **options).findings
-    return [(message.id, message.path) for _, message in found]
+    findings = check_text("file", text, **options).findings
+    return [(message.id, message.path) for _, message in findings]
 
 
 class CheckTextTests(TestCase):
@@ -39,10 +39,10 @@
     def test_reports_a_wrong_unit_and_the_right_field(self):
         contract = self.build()
         contract["classes"][0]["deadline_s"] = 1
-        found = check_text("file", encode(contract)).findings
-        self.assertEqual(found[0][1].id, "GL-S002")
-        self.assertEqual(found[0][1].path, "$.classes[0].deadline_s")
-        self.assertIn("'deadline_ms'", found[0][1].hint)
+        findings = check_text("file", encode(contract)).findings
+        self.assertEqual(findings[0][1].id, "GL-S002")
+        self.assertEqual(findings[0][1].path, "$.classes[0].deadline_s")
+        self.assertIn("'deadline_ms'", findings[0][1].hint)
 
     def test_finds_a_duplicate_name(self):
         text = encode(self.build()).replace(b'{"customer"', b'{"weight":1,"customer"', 1)
--- a/packages/geraniumlead/tests/core_tests/forwarding/builders.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/builders.py
@@ -51,9 +51,9 @@
     return Route(**(values | changes))
 
 
-def build_fan_out(shard_count: int = 4, least_share: float = 0.5, **changes) -> Route:
+def build_fan_out(shard_count: int = 4, min_share: float = 0.5, **changes) -> Route:
     shards = tuple(f"shard-{number}" for number in range(shard_count))
-    return build_route(FanOut(shards, 3, least_share), **changes)
+    return build_route(FanOut(shards, 3, min_share), **changes)
 
 
 def build_configuration(*routes: Route, version: int = 1) -> PublishedConfiguration:
--- a/packages/geraniumlead/tests/core_tests/forwarding/fleet_harness.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/fleet_harness.py
@@ -90,13 +90,13 @@
     def started(self) -> dict[str, int]:
         return {address: len(member.started) for address, member in self.members.items()}
 
-    def askers(self) -> dict[str, set[str]]:
+    def instances_by_upstream(self) -> dict[str, set[str]]:
         """Return the addresses of the instances with open attempts, by upstream."""
-        found: dict[str, set[str]] = defaultdict(set)
+        addresses: dict[str, set[str]] = defaultdict(set)
         for address, member in self.members.items():
             for attempt in member.started:
-                found[attempt.upstream.upstream_id].add(address)
-        return found
+                addresses[attempt.upstream.upstream_id].add(address)
+        return addresses
 
     def _send(self, address: str, outgoing: OutgoingPeerMessage) -> None:
         if address in self.silent or outgoing.address in self.silent:
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_cold_rate_limiter.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_cold_rate_limiter.py
@@ -17,7 +17,7 @@
 RATE_PER_S = 3.0
 FACTOR = 1.5
 SLACK = 5.0
-MOST_PER_S = RATE_PER_S * FACTOR + SLACK
+MAX_PER_S = RATE_PER_S * FACTOR + SLACK
 COLD_MS = 3_000.0
 
 
@@ -54,7 +54,7 @@
                     harness.end(attempt, build_answer())
         return sent
 
-    def most_in_a_second(self, sent: list[tuple[float, str]], upstream_id: str) -> int:
+    def max_in_a_second(self, sent: list[tuple[float, str]], upstream_id: str) -> int:
         times = [at_ms for at_ms, name in sent if name == upstream_id]
         return max((sum(1 for t in times if a <= t < a + 1000.0) for a in times), default=0)
 
@@ -67,16 +67,16 @@
         for count in (2, 7, 40):
             with self.subTest(instances=count):
                 sent = self.send_for(self.build(count, cold=COLD_MS - 100.0), 2.5)
-                most = self.most_in_a_second(sent, "cold")
-                self.assertLessEqual(most, MOST_PER_S)
-                self.assertGreaterEqual(most, 2)
+                highest = self.max_in_a_second(sent, "cold")
+                self.assertLessEqual(highest, MAX_PER_S)
+                self.assertGreaterEqual(highest, 2)
 
     def test_a_warm_upstream_gets_its_full_load(self):
         (harness,) = self.build(1, cold=500.0)
         self.assertEqual(1, len(harness.ask(1)))
         self.send_for([harness], 1.0)
         sent = self.send_for([harness], 1.0)
-        self.assertGreater(self.most_in_a_second(sent, "cold"), 2 * MOST_PER_S)
+        self.assertGreater(self.max_in_a_second(sent, "cold"), 2 * MAX_PER_S)
 
     def test_a_data_centre_that_comes_back_is_treated_as_cold(self):
         """The upstreams of a data centre were out of service, and the state they publish lags.
@@ -89,7 +89,7 @@
         harness.handle(out)
         harness.handle(back)
         sent = self.send_for([harness], 2.0)
-        self.assertLessEqual(self.most_in_a_second(sent, "back"), MOST_PER_S)
+        self.assertLessEqual(self.max_in_a_second(sent, "back"), MAX_PER_S)
         self.assertGreater(len(sent), 5)
 
     def test_cold_upstreams_without_a_rate_limit_may_get_any_request(self):
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_delegation.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_delegation.py
@@ -167,7 +167,7 @@
         The peer sends the answers it has and waits on. If it gave up, the caller would wait for
         both shards to start anew, or get nothing once the budget of extra attempts is spent.
         """
-        route = build_fan_out(shard_count=5, least_share=0.8)
+        route = build_fan_out(shard_count=5, min_share=0.8)
         records = [build_record("near", "shard-0")]
         records += [
             build_record(f"far.{name}", name, data_centre="midden-a") for name in route.services()
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_fan_out.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_fan_out.py
@@ -83,7 +83,7 @@
         self.assertEqual(1, len(harness.cancelled))
 
     def test_with_too_few_answers_the_wait_continues_after_the_goal(self):
-        harness = self.build(replicas=1, least_share=0.75)
+        harness = self.build(replicas=1, min_share=0.75)
         attempts = harness.ask()
         for attempt in attempts[:2]:
             harness.end(attempt, build_answer(HIGH, signature=attempt.upstream.service))
@@ -93,7 +93,7 @@
         self.assertEqual(1, harness.replies[1].missing)
 
     def test_a_query_that_cannot_get_enough_ends_at_once(self):
-        harness = self.build(replicas=1, least_share=0.75)
+        harness = self.build(replicas=1, min_share=0.75)
         first, second, *_ = harness.ask()
         harness.end(first, PossiblyExecuted("reset"))
         harness.end(second, PossiblyExecuted("reset"))
@@ -107,7 +107,7 @@
         after which to retry and the guarantee that nothing was executed.
         """
         harness = ForwarderHarness()
-        route = build_fan_out(least_share=0.75)
+        route = build_fan_out(min_share=0.75)
         records = [build_record("only", "shard-0")]
         harness.handle(build_updates(build_configuration(route), *records))
         self.assertEqual([], harness.ask())
@@ -153,7 +153,7 @@
         """
         harness = ForwarderHarness()
         harness.forwarder._runner.set_instances(1, ())
-        route = build_fan_out(shard_count=1, least_share=1.0)
+        route = build_fan_out(shard_count=1, min_share=1.0)
         records = [build_record(f"only.{number}", "shard-0") for number in range(60)]
         harness.handle(build_updates(build_configuration(route), *records))
         for key in range(1, 401):
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_far_shard_groups.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_far_shard_groups.py
@@ -22,7 +22,7 @@
 def build_fleet(instances: int, run_ms: float = START_MS) -> FleetHarness:
     """Return a fleet in three regions; every third shard is far from any one instance."""
     fleet = FleetHarness([PLACES[number % len(PLACES)] for number in range(instances)])
-    route = build_fan_out(SHARDS, least_share=0.9)
+    route = build_fan_out(SHARDS, min_share=0.9)
     records = [
         build_record(f"{name}.{place}", name, data_centre=place)
         for number, name in enumerate(route.services())
@@ -38,17 +38,17 @@
     return REGIONS[fleet.members[address].forwarder._settings.data_centre]
 
 
-def ask_all(fleet: FleetHarness) -> dict[str, set[str]]:
+def query_all_instances(fleet: FleetHarness) -> dict[str, set[str]]:
     """Send each instance a query; return the instances that sent to each upstream."""
-    askers: dict[str, set[str]] = {}
+    instances_by_upstream: dict[str, set[str]] = {}
     for key, address in enumerate(fleet.members, start=1):
         fleet.ask(address, key)
         fleet.deliver()
-        for upstream_id, found in fleet.askers().items():
-            askers.setdefault(upstream_id, set()).update(found)
+        for upstream_id, found in fleet.instances_by_upstream().items():
+            instances_by_upstream.setdefault(upstream_id, set()).update(found)
         fleet.answer_all()
         fleet.run_until(fleet.now_ms + 20.0)
-    return askers
+    return instances_by_upstream
 
 
 class FarShardGroupTests(TestCase):
@@ -82,7 +82,7 @@
         regions.
         """
         fleet = build_fleet(18)
-        route = build_fan_out(SHARDS, least_share=0.9)
+        route = build_fan_out(SHARDS, min_share=0.9)
         records = [
             build_record(f"{name}.{place}", name, data_centre=place)
             for number, name in enumerate(route.services())
@@ -105,7 +105,7 @@
         the same upstreams, and most of them would be cold.
         """
         for instances in (18, 36):
-            for upstream_id, found in ask_all(build_fleet(instances)).items():
+            for upstream_id, found in query_all_instances(build_fleet(instances)).items():
                 self.assertLessEqual(len(found), MAX_AGGREGATORS, (instances, upstream_id))
 
     def test_a_small_data_centre_has_one_aggregator_per_group(self):
@@ -114,7 +114,7 @@
         If all were aggregators of all groups, each would open connections to all upstreams, more
         than one for each subrequest.
         """
-        for upstream_id, found in ask_all(build_fleet(9)).items():
+        for upstream_id, found in query_all_instances(build_fleet(9)).items():
             self.assertEqual(1, len(found), upstream_id)
 
     def test_instances_that_have_not_met_agree_on_the_aggregators(self):
@@ -124,8 +124,8 @@
         connections to nearly all upstreams in the first ten seconds.
         """
         fleet = build_fleet(90, run_ms=2_000.0)
-        askers = ask_all(fleet)
-        mean = sum(map(len, askers.values())) / len(askers)
+        instances_by_upstream = query_all_instances(fleet)
+        mean = sum(map(len, instances_by_upstream.values())) / len(instances_by_upstream)
         self.assertLessEqual(mean, 2.0 * MAX_AGGREGATORS)
         for member in fleet.members.values():
             (reply,) = member.replies.values()
@@ -153,7 +153,7 @@
         entry, peer = fleet.members[address_of(0)], address_of(3)
         del fleet.members[peer].forwarder._peers.directory.peers["entry-1"]
         known = entry.forwarder._peers.directory.peers["entry-4"]
-        known.hello_sent_ms = known.heard_ms = known.echoed_ms = float("-inf")
+        known.hello_sent_ms = known.latest_hello_ms = known.echoed_ms = float("-inf")
         known.mentioned_ms = fleet.now_ms
         for key in range(1, 9):
             fleet.ask(address_of(0), key)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_isolation_detector.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_isolation_detector.py
@@ -24,18 +24,18 @@
 
 class IsolationDetectorTests(TestCase):
     def build(self, count: int = MIN_UNREACHABLE) -> IsolationDetector:
-        found = IsolationDetector()
-        found.record_answer(0.0)
+        detector = IsolationDetector()
+        detector.record_answer(0.0)
         for number in range(count):
-            found.record_unreachable(f"upstream-{number}", ISOLATED_AFTER_MS)
-        return found
+            detector.record_unreachable(f"upstream-{number}", ISOLATED_AFTER_MS)
+        return detector
 
     def test_failed_connections_and_no_answer_mean_isolation(self):
-        found = self.build()
-        self.assertFalse(found.is_isolated(ISOLATED_AFTER_MS - 1.0))
-        self.assertTrue(found.is_isolated(ISOLATED_AFTER_MS))
-        found.record_answer(ISOLATED_AFTER_MS + 1.0)
-        self.assertFalse(found.is_isolated(2.0 * ISOLATED_AFTER_MS))
+        detector = self.build()
+        self.assertFalse(detector.is_isolated(ISOLATED_AFTER_MS - 1.0))
+        self.assertTrue(detector.is_isolated(ISOLATED_AFTER_MS))
+        detector.record_answer(ISOLATED_AFTER_MS + 1.0)
+        self.assertFalse(detector.is_isolated(2.0 * ISOLATED_AFTER_MS))
 
     def test_one_or_two_upstreams_without_power_do_not_mean_isolation(self):
         self.assertFalse(self.build(MIN_UNREACHABLE - 1).is_isolated(ISOLATED_AFTER_MS))
@@ -48,10 +48,10 @@
         self.assertFalse(self.build().is_isolated(ISOLATED_AFTER_MS + RESUME_AFTER_MS))
 
     def test_one_request_at_a_time_is_sent_as_a_probe(self):
-        found = self.build()
-        self.assertFalse(found.should_refuse(ISOLATED_AFTER_MS))
-        self.assertTrue(found.should_refuse(ISOLATED_AFTER_MS + 1.0))
-        self.assertFalse(found.should_refuse(ISOLATED_AFTER_MS + PROBE_INTERVAL_MS))
+        detector = self.build()
+        self.assertFalse(detector.should_refuse(ISOLATED_AFTER_MS))
+        self.assertTrue(detector.should_refuse(ISOLATED_AFTER_MS + 1.0))
+        self.assertFalse(detector.should_refuse(ISOLATED_AFTER_MS + PROBE_INTERVAL_MS))
 
 
 class IsolatedInstanceTests(TestCase):
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_late_acknowledgements.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_late_acknowledgements.py
@@ -27,7 +27,7 @@
         self.fleet = FleetHarness(
             ["noord-a"] * INSTANCES, extra_slack=extra_slack, extra_share=extra_share
         )
-        route = build_fan_out(SHARDS, least_share=0.9)
+        route = build_fan_out(SHARDS, min_share=0.9)
         records = [
             build_record(f"{name}.{copy}", name) for name in route.services() for copy in (1, 2)
         ]
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_processing_delay.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_processing_delay.py
@@ -62,7 +62,7 @@
         sent after the goal, and was worth a tenth.
         """
         harness = ForwarderHarness()
-        route = build_fan_out(least_share=0.75)
+        route = build_fan_out(min_share=0.75)
         records = [build_record(f"{shard}.1", shard) for shard in route.services()]
         harness.handle(build_updates(build_configuration(route), *records))
         for key in range(1, 20):
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_published_state.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_published_state.py
@@ -32,9 +32,9 @@
         second after each of its outages, and each of these calls has a cost.
         """
         services = {name: UpstreamService(name, 26, 0.0) for name in ("reader", "to-come")}
-        found = PublishedConfiguration(1, RouteTable([build_route()]), services)
+        configuration = PublishedConfiguration(1, RouteTable([build_route()]), services)
         harness = ForwarderHarness()
-        harness.handle(build_updates(found, build_record("x")))
+        harness.handle(build_updates(configuration, build_record("x")))
         self.assertFalse(harness.forwarder.published.lacks_upstreams)
 
 
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_shard_groups.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_shard_groups.py
@@ -23,7 +23,7 @@
 
     def setUp(self):
         self.fleet = FleetHarness(["noord-a"] * INSTANCES)
-        route = build_fan_out(SHARDS, least_share=0.9)
+        route = build_fan_out(SHARDS, min_share=0.9)
         records = [build_record(f"{name}.1", name) for name in route.services()]
         self.fleet.publish(build_updates(build_configuration(route), *records))
         self.fleet.run_until(5_000.0)
@@ -54,7 +54,7 @@
         for key, address in enumerate(self.fleet.members, start=1):
             self.ask(address, key)
             self.fleet.deliver()
-            asked |= self.fleet.askers()["shard-0.1"]
+            asked |= self.fleet.instances_by_upstream()["shard-0.1"]
             self.fleet.answer_all()
             self.fleet.run_until(self.fleet.now_ms + 50.0)
         self.assertLessEqual(len(asked), MAX_AGGREGATORS)
--- a/packages/geraniumlead/tests/core_tests/forwarding/test_upstream_chooser.py
+++ b/packages/geraniumlead/tests/core_tests/forwarding/test_upstream_chooser.py
@@ -28,10 +28,10 @@
             self.upstream_view.put(build_record(name, **changes))
 
     def choose(self, now_ms: float = 0.0, tried=(), skip_avoided: bool = False) -> str | None:
-        found = self.chooser.choose(
+        upstream = self.chooser.choose(
             build_route(), SERVICE, tried, MEDIAN_LATENCY_MS, now_ms, skip_avoided=skip_avoided
         )
-        return None if found is None else found.upstream_id
+        return None if upstream is None else upstream.upstream_id
 
     def test_equal_upstreams_share_the_load(self):
         self.add("one", "two")
--- a/packages/geraniumlead/tests/core_tests/peering/test_directory.py
+++ b/packages/geraniumlead/tests/core_tests/peering/test_directory.py
@@ -56,8 +56,10 @@
             if is_gone or (sender, receiver) in self.blocked_links:
                 continue
             member = self.members[receiver]
-            peers_to_greet = member.handle_hello(outgoing.message, self.now_ms)
-            answers = [member.create_hello(peer, 1, True, self.now_ms) for peer in peers_to_greet]
+            peers_needing_hello = member.handle_hello(outgoing.message, self.now_ms)
+            answers = [
+                member.create_hello(peer, 1, True, self.now_ms) for peer in peers_needing_hello
+            ]
             self.deliver(receiver, answers)
 
     def record_sent(self, sender: int, receiver: int, size: int) -> None:
--- a/packages/geraniumlead/tests/core_tests/peering/test_store_read_timing.py
+++ b/packages/geraniumlead/tests/core_tests/peering/test_store_read_timing.py
@@ -18,8 +18,8 @@
         """Guards against a call that is still awaited when the bound has passed."""
         for bound_ms in BOUNDS_MS:
             with self.subTest(bound_ms=bound_ms):
-                pace = StoreReadTiming.from_bound(bound_ms)
-                longest_ms = pace.watch_ms + pace.slack_ms + FIRST_RETRY_MS
+                timing = StoreReadTiming.from_bound(bound_ms)
+                longest_ms = timing.watch_ms + timing.slack_ms + FIRST_RETRY_MS
                 self.assertLess(longest_ms, bound_ms)
 
     def test_any_later_lost_answer_and_the_longest_pause_end_within_the_bound(self):
@@ -29,23 +29,23 @@
         have reset the record of failures, but not the pause that has grown with them.
         """
         for bound_ms in BOUNDS_MS:
-            pace = StoreReadTiming.from_bound(bound_ms)
-            for wait_ms in (SHORT_WATCH_MS, pace.relay_watch_ms):
+            timing = StoreReadTiming.from_bound(bound_ms)
+            for wait_ms in (SHORT_WATCH_MS, timing.relay_watch_ms):
                 with self.subTest(bound_ms=bound_ms, wait_ms=wait_ms):
-                    longest_ms = wait_ms + pace.slack_ms + pace.max_retry_ms
+                    longest_ms = wait_ms + timing.slack_ms + timing.max_retry_ms
                     self.assertLess(longest_ms, bound_ms)
-            self.assertLess(pace.read_timeout_ms + pace.max_retry_ms, bound_ms)
+            self.assertLess(timing.read_timeout_ms + timing.max_retry_ms, bound_ms)
 
     def test_instance_without_updates_reads_the_store_within_the_bound(self):
         """Guards against instances that wait for silent watchers until the bound has passed."""
         for bound_ms in BOUNDS_MS:
             with self.subTest(bound_ms=bound_ms):
-                pace = StoreReadTiming.from_bound(bound_ms)
-                longest_ms = pace.update_timeout_ms * (1.0 + UPDATE_TIMEOUT_JITTER)
+                timing = StoreReadTiming.from_bound(bound_ms)
+                longest_ms = timing.update_timeout_ms * (1.0 + UPDATE_TIMEOUT_JITTER)
                 self.assertLess(longest_ms + CALL_MS, bound_ms)
 
     def test_changes_are_batched_for_less_than_half_of_the_bound(self):
         for bound_ms in BOUNDS_MS:
             with self.subTest(bound_ms=bound_ms):
-                pace = StoreReadTiming.from_bound(bound_ms)
-                self.assertLess(max(pace.batching_ms, pace.relay_watch_ms), bound_ms / 2.0)
+                timing = StoreReadTiming.from_bound(bound_ms)
+                self.assertLess(max(timing.batching_ms, timing.relay_watch_ms), bound_ms / 2.0)
