--- a/packages/geraniumlead/src/geraniumlead/forwarding/lateness_estimator.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/lateness_estimator.py
@@ -95,8 +95,8 @@
             return late_ms
         if not has_ample_budget:
             return max(late_ms, latest_ms)
-        least_ms = attempt.relative_rtt_ms + MIN_LATE_FACTOR * median_latency_ms
-        return max(min(late_ms, latest_ms), least_ms)
+        min_ms = attempt.relative_rtt_ms + MIN_LATE_FACTOR * median_latency_ms
+        return max(min(late_ms, latest_ms), min_ms)
 
     def deadlines_of(
         self, request: ForwardedRequest, route: Route, margin_ms: float
--- a/packages/geraniumlead/src/geraniumlead/forwarding/open_request.py
+++ b/packages/geraniumlead/src/geraniumlead/forwarding/open_request.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """An open request to an upstream.
+    """A subrequest that was sent to one upstream, until its result is known.
 
     ``relative_rtt_ms`` is the relative RTT to the upstream's data centre and
     ``second_relative_rtt_ms`` that to the nearest of the other upstreams.
@@ -129,11 +129,11 @@
             self.answered += 1
         subrequest.answer, subrequest.failure = answer, None
 
-    def settle_failed(self, subrequest: Subrequest, why: str, now_ms: float) -> None:
+    def settle_failed(self, subrequest: Subrequest, reason: str, now_ms: float) -> None:
         """Mark a subrequest as failed."""
-        subrequest.failure = why
+        subrequest.failure = reason
         self.settled += 1
-        self.record_step(subrequest, None, why, now_ms)
+        self.record_step(subrequest, None, reason, now_ms)
 
     def record_step(
         self, subrequest: Subrequest, upstream_id: str | None, what: str, now_ms: float
