--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/admission_variants.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/admission_variants.py
@@ -10,7 +10,8 @@
 from geraniumlead_standins.bench.aimd_limit import AimdLimit
 from geraniumlead_standins.bench.plain_admission import PlainAdmission
 
-Prepare = Callable[[Instance], None]
+ApplyVariant = Callable[[Instance], None]
+"""Changes the parts of an instance before a run, to measure a variant."""
 
 
 class NoShares(FleetShares):
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/caller_load.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/caller_load.py
@@ -8,7 +8,7 @@
 from geraniumlead.events import QueryArrived
 from geraniumlead.instance import Instance
 from geraniumlead.requests import CallerRequest, NotRun
-from geraniumlead_standins.bench.caller_stream import AfterRefusal, CallerStream
+from geraniumlead_standins.bench.caller_stream import CallerStream, RetryPolicy
 from geraniumlead_standins.bench.result_row import ResultRow
 from geraniumlead_standins.bench.stream_result import StreamResult
 from geraniumlead_standins.virtual.small_cluster import ClusterSize, SmallCluster
@@ -32,7 +32,7 @@
         size: ClusterSize,
         seed: int,
         contracts: list[ContractDocument],
-        prepare: Callable[[Instance], None] = lambda instance: None,
+        apply_variant: Callable[[Instance], None] = lambda instance: None,
     ) -> None:
         self.cluster = SmallCluster.from_size(size, seed, contracts[0])
         self.run = self.cluster.run
@@ -40,7 +40,7 @@
             key = document_key(DocumentKind.CONTRACT, contract.customer)
             self.run.publish({key: encode(contract)})
         for host in self.run.instances.values():
-            prepare(host.instance)
+            apply_variant(host.instance)
         self.results: dict[str, StreamResult] = {}
         self._streams: dict[str, tuple[CallerStream, int, float]] = {}
         self._request_numbers = count()
@@ -74,7 +74,7 @@
 
     def rows(self, pattern: str, variant: str, **extra_figures: float) -> list[ResultRow]:
         """Return one row per stream."""
-        fall_count = sum(upstream.fallen for upstream in self.run.upstreams.values())
+        down_count = sum(upstream.fallen for upstream in self.run.upstreams.values())
         crashes = sum(upstream.crashes for upstream in self.run.upstreams.values())
         measured_s = self.measured_s
         return [
@@ -84,14 +84,14 @@
                 name,
                 result,
                 measured_s,
-                fall_count + crashes,
+                down_count + crashes,
                 extra_figures,
             )
             for name, result in self.results.items()
         ]
 
     def _row(
-        self, pattern, variant, name, result, measured_s, fall_count, extra_figures
+        self, pattern, variant, name, result, measured_s, down_count, extra_figures
     ) -> ResultRow:
         answered_count = len(result.latencies_ms)
         first_subqueries = result.subqueries - result.extra_subqueries
@@ -108,7 +108,7 @@
             extra_load_share=(
                 round(result.extra_subqueries / first_subqueries, 5) if first_subqueries else 0.0
             ),
-            fallen=fall_count,
+            fallen=down_count,
             refused_by_reason=dict(result.refused),
             more={
                 "sent": float(result.sent),
@@ -160,10 +160,10 @@
             result.extra_subqueries += action.extra_subqueries
         if not isinstance(action.outcome, NotRun) or retries >= stream.max_retries:
             return
-        match stream.after_refusal:
-            case AfterRefusal.RETRY_AT_ONCE:
+        match stream.retry_policy:
+            case RetryPolicy.RETRY_AT_ONCE:
                 wait_ms = IMMEDIATE_RETRY_DELAY_MS
-            case AfterRefusal.HONOUR_RETRY_AFTER:
+            case RetryPolicy.HONOUR_RETRY_AFTER:
                 wait_ms = action.outcome.retry_after_ms
             case _:
                 return
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/caller_stream.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/caller_stream.py
@@ -4,8 +4,8 @@
 from random import Random
 
 
-class AfterRefusal(StrEnum):
-    """What a caller does after a refusal."""
+class RetryPolicy(StrEnum):
+    """Whether and when a caller retries a refused request."""
 
     GIVE_UP = "leave"
     RETRY_AT_ONCE = "return_at_once"
@@ -22,7 +22,7 @@
     start_ms: float = 8_000.0
     end_ms: float = 18_000.0
     deadline_ms: float = 200.0
-    after_refusal: AfterRefusal = AfterRefusal.GIVE_UP
+    retry_policy: RetryPolicy = RetryPolicy.GIVE_UP
     max_retries: int = 20
     retry_until_ms: float = 0.0
     draw_key: Callable[[Random], str | None] = lambda random: None
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/configuration/process_propagation.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/configuration/process_propagation.py
@@ -21,7 +21,7 @@
 START_BOUND_S = 30.0
 POLL_INTERVAL_S = 0.01
 CHANGES = 10
-PAUSE_S = 0.3
+PAUSE_BETWEEN_CHANGES_S = 0.3
 OUTAGE_S = 8.0
 PLATFORM = "platform"
 
@@ -80,7 +80,7 @@
         calls, started_s = await self._calls(), monotonic()
         for _ in range(CHANGES):
             times_s.append(await self._time_until_in_force(await self._publish()))
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(PAUSE_BETWEEN_CHANGES_S)
         rate = (await self._calls() - calls) / (monotonic() - started_s)
         return self._row("nothing fails", times_s, rate)
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/control.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/control.py
@@ -63,7 +63,7 @@
         self.payload_bytes = 0
         self.run.on_action = self._count_sent
         self._names = list(self.run.instances)
-        self.run.publish(_remote_lists(instances))
+        self.run.publish(_build_remote_instance_lists(instances))
 
     def measure(self) -> dict:
         """Return the costs of one node per second."""
@@ -120,7 +120,7 @@
         Instance.handle = self._original_handle
 
 
-def _remote_lists(instances: int) -> dict[str, bytes]:
+def _build_remote_instance_lists(instances: int) -> dict[str, bytes]:
     values = {}
     for data_centre_number in range(REMOTE_DATA_CENTRES):
         name = f"remote{data_centre_number}"
@@ -133,7 +133,7 @@
     return values
 
 
-def _upstream_lists() -> dict[str, bytes]:
+def _build_remote_upstream_lists() -> dict[str, bytes]:
     values = {}
     for data_centre_number in range(REMOTE_DATA_CENTRES):
         name = f"remote{data_centre_number}"
@@ -159,12 +159,12 @@
     cluster = SmallCluster.from_size(ClusterSize(instances=1), 1)
     run = cluster.run
     tracemalloc.start()
-    run.publish(_remote_lists(instances) | _upstream_lists())
+    run.publish(_build_remote_instance_lists(instances) | _build_remote_upstream_lists())
     run.queue.run_until(SETTLE_MS)
     held_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     contract_ms = [_time_change(run, _contract_value(number)) for number in range(CHANGES)]
-    lists = _remote_lists(instances - 1)
+    lists = _build_remote_instance_lists(instances - 1)
     list_ms = [_time_change(run, {key: value}) for key, value in lists.items()]
     return {
         "instances": instances * REMOTE_DATA_CENTRES,
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/fleet_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/fleet_run.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Outcome:
+class QueryOutcome:
     """The outcome of one query; ``latency_ms`` is None without an answer."""
 
     sent_ms: float
@@ -63,7 +63,7 @@
         self._cancelled: set[tuple[str, int]] = set()
         models = load.build_upstreams(Random(f"{seed}/upstreams"))
         self._upstreams = {model.upstream_id: model for model in models}
-        self.outcomes: dict[int, Outcome] = {}
+        self.outcomes: dict[int, QueryOutcome] = {}
         self.subrequests = 0
         self.instances = [
             ModelInstance(number, load, self._queue, self._execute, seed)
@@ -107,7 +107,7 @@
 
     def _send_query(self, key: int, number: int, kind: QueryKind) -> None:
         now_ms = self._queue.now_ms
-        self.outcomes[key] = Outcome(now_ms, kind)
+        self.outcomes[key] = QueryOutcome(now_ms, kind)
         request = ForwardedRequest(
             key=key,
             request_id=f"request-{key}",
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/instance.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/instance.py
@@ -105,8 +105,10 @@
     def _cost_ms(self, action: ForwardingAction, now_ms: float) -> float:
         match action:
             case StartAttempt(attempt_id=attempt_id, upstream=upstream):
-                is_warm = self.connections.acquire(attempt_id, upstream.upstream_id, now_ms)
-                return self._costs.warm_subrequest_ms if is_warm else self._costs.cold_subrequest_ms
+                is_reused = self.connections.acquire(attempt_id, upstream.upstream_id, now_ms)
+                return (
+                    self._costs.reused_connection_ms if is_reused else self._costs.new_connection_ms
+                )
             case OutgoingPeerMessage():
                 return self._costs.message_ms
             case LogDecision():
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/load.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/load.py
@@ -25,25 +25,35 @@
 DATA_CENTRES = tuple(REGIONS)
 SLOTS = 2
 MAX_CONNECTIONS = 120
-WORK_SPREAD = 0.35
+WORK_SIGMA = 0.35
+"""Sigma of the lognormal distribution of service times."""
+
 SWEEP_SHARE = 0.75
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessorCosts:
-    """Processor time of each kind of work, in milliseconds of a whole core."""
+    """Processor time of each kind of work, in milliseconds of a whole core.
+
+    ``new_connection_ms`` and ``reused_connection_ms`` are the costs of sending a subrequest, on a
+    connection that has to be opened and on an idle one.
+    """
 
     query_ms: float = 0.8
     message_ms: float = 0.3
-    warm_subrequest_ms: float = 0.3
-    cold_subrequest_ms: float = 0.7
+    reused_connection_ms: float = 0.3
+    new_connection_ms: float = 0.7
     answer_ms: float = 0.2
     timer_ms: float = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class QueryKind:
-    """The queries of one route."""
+    """A kind of query, with the name, latency goal and timeout of its route.
+
+    ``min_share`` is the smallest share of the shards with which the route answers, and ``work_ms``
+    the median service time of one subrequest.
+    """
 
     name: str
     goal_ms: float
@@ -104,7 +114,7 @@
         return 0.7 if REGIONS[first] == REGIONS[second] else 20.0
 
     def build_upstreams(self, random: Random) -> list[UpstreamModel]:
-        """Return two upstreams of each shard."""
+        """Return the two upstreams of every shard."""
         upstreams = []
         for number, name in enumerate(self.names):
             for copy in range(2):
@@ -175,4 +185,4 @@
 
 def draw_work_ms(kind: QueryKind, random: Random) -> float:
     """Return a random service time of an upstream for one subrequest."""
-    return kind.work_ms * random.lognormvariate(0.0, WORK_SPREAD)
+    return kind.work_ms * random.lognormvariate(0.0, WORK_SIGMA)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_talk.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_talk.py
@@ -18,7 +18,9 @@
 STEP_MS = 100.0
 REGIONS = 3
 DATA_CENTRES_PER_REGION = 2
-SEEDS = 3
+SEED_ADDRESSES = 3
+"""Number of instances whose addresses every instance knows from the start."""
+
 START_SECONDS = 5
 STEADY_SECONDS = 20
 HEADER_BYTES = 100
@@ -57,7 +59,7 @@
             )
             for n in range(count)
         ]
-        seeds = tuple(contact.address for contact in contacts[:SEEDS])
+        seeds = tuple(contact.address for contact in contacts[:SEED_ADDRESSES])
         self._regions = {c.address: regions[c.data_centre] for c in contacts}
         self._members = {
             contact.address: PeerDirectory(
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/forwarder_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/forwarder_run.py
@@ -34,7 +34,9 @@
 from geraniumlead_standins.bench.forwarding_bound.upstream_model import NEVER_MS, UpstreamModel
 
 HOST, PATH = "search.example", "/all/"
-TIMEOUT_GOALS = 5.0
+TIMEOUT_GOAL_FACTOR = 5.0
+"""Timeout of a request, as a multiple of the latency goal."""
+
 MAX_CONNECTIONS = 26
 INSTANCES = 6
 
@@ -129,7 +131,7 @@
                 headers=(),
                 body=b"",
                 arrived_ms=at_ms,
-                wait_ms=TIMEOUT_GOALS * self._load.goal_ms,
+                wait_ms=TIMEOUT_GOAL_FACTOR * self._load.goal_ms,
                 caller_rtt_ms=0.0,
             )
         )
@@ -142,7 +144,7 @@
             prefix=PATH,
             target=FanOut(tuple(load.names), 1, load.min_share),
             is_idempotent=True,
-            timeout_ms=TIMEOUT_GOALS * load.goal_ms,
+            timeout_ms=TIMEOUT_GOAL_FACTOR * load.goal_ms,
             latency_goal_ms=load.goal_ms,
             priority=1,
             max_upstreams=2,
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/load_model.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/load_model.py
@@ -11,7 +11,8 @@
 PAUSE_EVERY_MS = 6_000.0
 FAULT_FROM_MS = 8_000.0
 FAULT_TO_MS = 16_000.0
-WORK_SPREAD = 0.35
+WORK_SIGMA = 0.35
+"""Sigma of the lognormal distribution of service times."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +61,7 @@
 
     def draw_work_ms(self, random: Random) -> float:
         """Return a random service time of an upstream for one request."""
-        return self.work_ms * random.lognormvariate(0.0, WORK_SPREAD)
+        return self.work_ms * random.lognormvariate(0.0, WORK_SIGMA)
 
     def round_trip_ms(self, data_centre: str) -> float:
         """Return the round-trip time to a data centre."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/load_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/load_run.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class ReceivedAnswer:
     """The outcome of a request, with its arrival time and latency."""
 
     arrived_ms: float
@@ -38,7 +38,7 @@
     deadline_ms: float = 200.0
     least_coverage: float = 1.0
     entries: list[str] = field(default_factory=list)
-    answers: list[Answer] = field(default_factory=list)
+    answers: list[ReceivedAnswer] = field(default_factory=list)
     sent: int = 0
     calls: int = 0
     next_ms: float = SETTLED_MS
@@ -119,7 +119,9 @@
         if isinstance(action, AnswerCaller):
             latency_ms = now_ms - action.arrived_ms
             self.answers.append(
-                Answer(action.arrived_ms, latency_ms, action.outcome, action.extra_subqueries)
+                ReceivedAnswer(
+                    action.arrived_ms, latency_ms, action.outcome, action.extra_subqueries
+                )
             )
 
     def _count_call(self, name: str, action: object, now_ms: float) -> None:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/burst.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/burst.py
@@ -1,7 +1,7 @@
 """Bursts of a thousand requests within a tenth of a second, on a steady load."""
 
 from geraniumlead_standins.bench.admission_variants import (
-    Prepare,
+    ApplyVariant,
     use_aimd_limit,
     use_default,
     use_plain_admission,
@@ -33,9 +33,9 @@
 
 
 def _measure(
-    variant: str, prepare: Prepare, bursts_at_ms: tuple[float, ...], seed: int
+    variant: str, apply_variant: ApplyVariant, bursts_at_ms: tuple[float, ...], seed: int
 ) -> list[ResultRow]:
-    load = CallerLoad(SIZE, seed, [build_load_contract()], prepare)
+    load = CallerLoad(SIZE, seed, [build_load_contract()], apply_variant)
     load.add(CallerStream("lookup", 0.4 * CAPACITY_PER_S, end_ms=END_MS))
     for at_ms in bursts_at_ms:
         load.add(
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/crash_query.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/crash_query.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 from random import Random
 
-from geraniumlead_standins.bench.admission_variants import Prepare, use_default
+from geraniumlead_standins.bench.admission_variants import ApplyVariant, use_default
 from geraniumlead_standins.bench.caller_load import CallerLoad
 from geraniumlead_standins.bench.caller_stream import CallerStream
 from geraniumlead_standins.bench.crash_variants import use_no_canary, use_no_guard
@@ -15,7 +15,7 @@
 from geraniumlead_standins.bench.result_row import ResultRow
 
 NAME = "crash_query"
-WIDE = replace(SIZE, instances=3, replicas=4)
+LARGE_SIZE = replace(SIZE, instances=3, replicas=4)
 OTHERS_PER_S = 0.6 * CAPACITY_PER_S
 CRASHING_PER_S = 20.0
 CRASHING_FROM_MS = 11_000.0
@@ -39,8 +39,10 @@
     return b'{"member":%d}' % random.randrange(DISTINCT_QUERIES)
 
 
-def _measure(variant: str, prepare: Prepare, crashing_per_s: float, seed: int) -> list[ResultRow]:
-    load = CallerLoad(WIDE, seed, [build_load_contract()], prepare)
+def _measure(
+    variant: str, apply_variant: ApplyVariant, crashing_per_s: float, seed: int
+) -> list[ResultRow]:
+    load = CallerLoad(LARGE_SIZE, seed, [build_load_contract()], apply_variant)
     load.add(CallerStream("lookup", OTHERS_PER_S, end_ms=END_MS, draw_query=_draw_query))
     load.add(
         CallerStream(
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/long_among_short.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/long_among_short.py
@@ -5,7 +5,7 @@
 from msgspec.structs import replace as replace_fields
 
 from geraniumlead_standins.bench.admission_variants import (
-    Prepare,
+    ApplyVariant,
     use_default,
     use_plain_admission,
 )
@@ -20,7 +20,7 @@
 
 NAME = "long_among_short"
 LONG_PER_S = 24.0
-WIDE = replace(SIZE, slots=6)
+LARGE_SIZE = replace(SIZE, slots=6)
 """Six slots, as the portal and the reporting service have. With two slots, each of the two owners
 would have one, and a long job on it would block all short requests of that owner."""
 
@@ -33,18 +33,22 @@
         *_measure("no long jobs", use_default, 0.0, seed),
         *_measure("plain", use_plain_admission, LONG_PER_S, seed),
         *_measure("module", use_default, LONG_PER_S, seed),
-        *_measure("rival not kept apart", use_default, LONG_PER_S, seed, kept_apart=False),
+        *_measure("rival not kept apart", use_default, LONG_PER_S, seed, mark_long_running=False),
     ]
 
 
 def _measure(
-    variant: str, prepare: Prepare, long_per_s: float, seed: int, kept_apart: bool = True
+    variant: str,
+    apply_variant: ApplyVariant,
+    long_per_s: float,
+    seed: int,
+    mark_long_running: bool = True,
 ) -> list[ResultRow]:
     contract = build_load_contract()
-    if not kept_apart:
+    if not mark_long_running:
         classes = [replace_fields(found, long_running=False) for found in contract.classes]
         contract = replace_fields(contract, classes=classes)
-    load = CallerLoad(WIDE, seed, [contract], prepare)
+    load = CallerLoad(LARGE_SIZE, seed, [contract], apply_variant)
     load.add(CallerStream("statement", 0.75 * CAPACITY_PER_S, end_ms=END_MS, deadline_ms=500.0))
     load.add(
         CallerStream(
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/overload.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/patterns/overload.py
@@ -1,7 +1,7 @@
 """One and a half, three and ten times the load that the upstreams can serve."""
 
 from geraniumlead_standins.bench.admission_variants import (
-    Prepare,
+    ApplyVariant,
     use_aimd_limit,
     use_default,
     use_plain_admission,
@@ -31,8 +31,10 @@
     return rows
 
 
-def _measure(variant: str, prepare: Prepare, factor: float, seed: int) -> list[ResultRow]:
-    load = CallerLoad(SIZE, seed, [build_load_contract()], prepare)
+def _measure(
+    variant: str, apply_variant: ApplyVariant, factor: float, seed: int
+) -> list[ResultRow]:
+    load = CallerLoad(SIZE, seed, [build_load_contract()], apply_variant)
     load.add(CallerStream("lookup", FIRST_CLASS_SHARE * CAPACITY_PER_S, end_ms=END_MS))
     rest_per_s = (factor - FIRST_CLASS_SHARE) * CAPACITY_PER_S / 2.0
     if rest_per_s > 0.0:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/report.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/report.py
@@ -36,8 +36,10 @@
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / JSON_NAME
     kept = decode(path.read_bytes(), type=list[ResultRow]) if path.exists() else []
-    names = {row.pattern for row in measured}
-    rows = [row for row in kept if row.pattern not in names and row.pattern in order] + measured
+    measured_patterns = {row.pattern for row in measured}
+    rows = [
+        row for row in kept if row.pattern not in measured_patterns and row.pattern in order
+    ] + measured
     rows.sort(key=lambda row: order.index(row.pattern))
     path.write_bytes(format(encode(rows), indent=1) + b"\n")
     (folder / TABLE_NAME).write_text(render_table(rows))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/bare_fan_out.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/bare_fan_out.py
@@ -44,12 +44,12 @@
                 for _ in self._addresses
             ]
         texts = await asyncio.gather(
-            *(self._ask(shard, query) for shard in range(len(self._addresses)))
+            *(self._query_shard(shard, query) for shard in range(len(self._addresses)))
         )
         response.content_type = falcon.MEDIA_JSON
         response.data = b'{"records":[' + b",".join(text[1:-1] for text in texts) + b"]}"
 
-    async def _ask(self, shard: int, query) -> bytes:
+    async def _query_shard(self, shard: int, query) -> bytes:
         body = {
             "call_id": str(shard),
             "request_id": "bare",
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/decision_cpu.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/decision_cpu.py
@@ -13,7 +13,7 @@
 
 FAN_OUTS = (20, 100, 200, 600, 1200)
 BATCH_SIZES = (10, 50, 100, 200, 400)
-SUBQUERIES_A_POINT = 24_000
+SUBQUERIES_PER_POINT = 24_000
 WARM_UP_QUERIES = 12
 OWNERS_FOR_REMOTE = 24
 
@@ -69,7 +69,7 @@
 
 
 def _time_queries(driver: EchoDriver, shards: int) -> float:
-    count = max(20, SUBQUERIES_A_POINT // shards)
+    count = max(20, SUBQUERIES_PER_POINT // shards)
     for number in range(WARM_UP_QUERIES):
         _run_query(driver, f"w{number}")
         driver.advance(100.0)
@@ -91,7 +91,7 @@
     for number in range(WARM_UP_QUERIES):
         _run_query(driver, f"w{number}")
         driver.advance(100.0)
-    count = max(20, SUBQUERIES_A_POINT // size)
+    count = max(20, SUBQUERIES_PER_POINT // size)
     batches = [_build_batch(size, number) for number in range(count)]
     gc.collect()
     started = process_time()
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/fits.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/fits.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Line:
+class LinearFit:
     """A fitted line; ``error_share`` is the largest residual divided by the largest value."""
 
     slope: float
@@ -17,7 +17,7 @@
     error_share: float
 
     @classmethod
-    def from_points(cls, sizes: list[float], values: list[float]) -> "Line":
+    def from_points(cls, sizes: list[float], values: list[float]) -> "LinearFit":
         """Fit a line by least squares; at least four points are needed."""
         if len(sizes) < 4:
             raise ValueError("a line needs at least four sizes")
@@ -40,7 +40,7 @@
     return min(measure() for _ in range(REPEATS))
 
 
-def build_slope(unit: str, per: str, points: list[tuple[float, float]]) -> dict:
+def build_fit_record(unit: str, per: str, points: list[tuple[float, float]]) -> dict:
     """Return the record of one fitted line: its points, coefficients and units."""
     sizes = [size for size, _ in points]
     values = [value for _, value in points]
@@ -48,5 +48,5 @@
         "unit": unit,
         "per": per,
         "points": [[size, round(value, 3)] for size, value in points],
-        **Line.from_points(sizes, values).to_json(),
+        **LinearFit.from_points(sizes, values).to_json(),
     }
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/message_cpu.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/message_cpu.py
@@ -15,7 +15,7 @@
 from geraniumlead_standins.capacity.fits import min_of_runs
 
 BATCH_SIZES = (1, 10, 50, 100, 300, 500)
-ITEMS_A_POINT = 60_000
+ITEMS_PER_POINT = 60_000
 MESSAGES = 8_000
 MESSAGES_AT_ONCE = 50
 MESSAGE_BYTES = (100, 1_000, 10_000, 50_000)
@@ -66,7 +66,7 @@
 
 
 def _time_coding(message, size: int) -> float:
-    rounds = max(50, ITEMS_A_POINT // size)
+    rounds = max(50, ITEMS_PER_POINT // size)
     started = process_time()
     for _ in range(rounds):
         decode_message(encode_message(message))
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/node_costs.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/node_costs.py
@@ -46,7 +46,7 @@
     def from_slopes(cls, size: DeploymentSize, measured: dict) -> "NodeCosts":
         """Calculate the costs from the record that ``make capacity`` writes."""
         slopes = measured["slopes"]
-        owners = _owners(size)
+        owners = _owners_per_upstream(size)
         subqueries = size.subqueries_per_node_s
         remote_share = 1.0 - owners / size.nodes_per_data_centre
         peers = _peers_per_tick(size, measured) if remote_share > 0 else 0.0
@@ -96,7 +96,7 @@
             propagation_bytes_per_s=size.changes_per_s
             * DOCUMENT_BYTES
             * size.nodes_per_data_centre,
-            platform_calls_per_s=_platform_calls(size),
+            platform_calls_per_s=_platform_calls_per_s(size),
         )
 
     @property
@@ -126,7 +126,7 @@
         )
 
 
-def _owners(size: DeploymentSize) -> float:
+def _owners_per_upstream(size: DeploymentSize) -> float:
     by_connections = max(1, size.connections_per_server // MIN_CONNECTIONS_PER_OWNER)
     return float(min(MAX_OWNERS, by_connections, size.nodes_per_data_centre))
 
@@ -139,7 +139,7 @@
     return nearest["affinity"] * wanted / nearest["instances"]
 
 
-def _platform_calls(size: DeploymentSize) -> float:
+def _platform_calls_per_s(size: DeploymentSize) -> float:
     watchers = WATCHERS_PER_DATA_CENTRE * size.data_centres
     # Each pending watch counts as one call. A restart makes two reads and starts a new watch.
     return watchers + 3.0 * size.restarts_per_day / 86_400.0
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/record.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/record.py
@@ -12,7 +12,7 @@
     measure_remote_query,
 )
 from geraniumlead_standins.capacity.fan_out_cpu import measure_fan_out
-from geraniumlead_standins.capacity.fits import build_slope
+from geraniumlead_standins.capacity.fits import build_fit_record
 from geraniumlead_standins.capacity.idle_instances import measure_idle
 from geraniumlead_standins.capacity.message_cpu import (
     measure_bytes,
@@ -37,20 +37,20 @@
     """Run the measurements that need no other process; return the record with their results."""
     report_progress("decisions")
     slopes = record.get("slopes", {}) | {
-        "local_query": build_slope("us", "shard", measure_local_query()),
-        "remote_query": build_slope("us", "shard", measure_remote_query()),
-        "owner_batch": build_slope("us", "subquery", measure_owner()),
+        "local_query": build_fit_record("us", "shard", measure_local_query()),
+        "remote_query": build_fit_record("us", "shard", measure_remote_query()),
+        "owner_batch": build_fit_record("us", "subquery", measure_owner()),
     }
     refused_us = round(measure_refused(), 2)
     report_progress("messages")
     subqueries, results = measure_coding()
-    slopes["coding_subquery"] = build_slope("us", "subquery", subqueries)
-    slopes["coding_result"] = build_slope("us", "result", results)
-    slopes["batch_bytes"] = build_slope("bytes", "subquery", measure_bytes())
-    slopes["message"] = build_slope("us", "byte", measure_transport())
+    slopes["coding_subquery"] = build_fit_record("us", "subquery", subqueries)
+    slopes["coding_result"] = build_fit_record("us", "result", results)
+    slopes["batch_bytes"] = build_fit_record("bytes", "subquery", measure_bytes())
+    slopes["message"] = build_fit_record("us", "byte", measure_transport())
     report_progress("memory")
     for name, points in measure_state_memory().items():
-        slopes[name] = build_slope("bytes", name.replace("open_shard", "shard"), points)
+        slopes[name] = build_fit_record("bytes", name.replace("open_shard", "shard"), points)
     report_progress("owners, batches and the tail")
     return record | {
         "python": platform.python_version(),
@@ -74,8 +74,8 @@
     points = [(float(row["shards"]), row["instance_us"]) for row in fan_out]
     bare_points = [(float(row["shards"]), row["bare_us"]) for row in fan_out]
     slopes = record["slopes"] | {
-        "instance_query": build_slope("us", "shard", points),
-        "upstream_call": build_slope("us", "call", bare_points),
+        "instance_query": build_fit_record("us", "shard", points),
+        "upstream_call": build_fit_record("us", "call", bare_points),
     }
     return record | {"idle": idle, "fan_out": fan_out, "slopes": slopes}
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/state_memory.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/capacity/state_memory.py
@@ -16,7 +16,7 @@
 PEER_COUNTS = (7, 60, 227, 700)
 TICKET_COUNTS = (1_000, 5_000, 20_000, 50_000)
 FAN_OUTS = (20, 100, 400, 1_200)
-REQUESTS_A_FAN_OUT = 20
+REQUESTS_PER_FAN_OUT = 20
 
 
 def measure_state_memory() -> dict[str, list[tuple[float, float]]]:
@@ -26,7 +26,7 @@
         "contract": _measure(CONTRACT_COUNTS, lambda count: build_instance(20, 1, count)),
         "peer": _measure(PEER_COUNTS, lambda count: build_instance(20, count)),
         "open_shard": [
-            (float(shards), _measure_open(shards) / REQUESTS_A_FAN_OUT) for shards in FAN_OUTS
+            (float(shards), _measure_open(shards) / REQUESTS_PER_FAN_OUT) for shards in FAN_OUTS
         ],
         "ticket": _measure(TICKET_COUNTS, _issue_tickets),
     }
@@ -50,7 +50,7 @@
 
 def _measure_open(shards: int) -> float:
     driver = build_driver(shards)
-    return _measure_one(lambda: _open_requests(driver, REQUESTS_A_FAN_OUT))
+    return _measure_one(lambda: _open_requests(driver, REQUESTS_PER_FAN_OUT))
 
 
 def _open_requests(driver: EchoDriver, count: int) -> list:
--- a/packages/geraniumlead-standins/tests/standins_tests/bench/test_callers_under_overload.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/bench/test_callers_under_overload.py
@@ -32,8 +32,8 @@
         """The load is three times the capacity, and the first class is half of the capacity.
 
         The first class alone fits, so none of it may be refused, and its tail may grow only by
-        the wait until running requests end. The remaining capacity goes to the other classes, of
-        which the lowest gets its floor. No refusal arrives after the deadline.
+        the wait until running requests end. The remaining capacity goes to the other classes, and
+        the lowest class gets its guaranteed minimum share. No refusal arrives after the deadline.
         """
         end_ms = 16_000.0
         alone = run_streams(lookups(0.5))["lookup"]
--- a/packages/geraniumlead-standins/tests/standins_tests/bench/test_crash_query.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/bench/test_crash_query.py
@@ -13,7 +13,7 @@
     build_load_contract,
 )
 
-WIDE = replace(SIZE, instances=3, replicas=4)
+LARGE_SIZE = replace(SIZE, instances=3, replicas=4)
 
 
 class CrashQueryTests(TestCase):
@@ -25,7 +25,7 @@
         not run and when to retry; all other queries are answered in the meantime.
         """
         for seed in (1, 2, 3):
-            load = CallerLoad(WIDE, seed, [build_load_contract()])
+            load = CallerLoad(LARGE_SIZE, seed, [build_load_contract()])
             load.add(
                 CallerStream(
                     "lookup",
@@ -53,7 +53,7 @@
 
     def test_sends_at_the_same_moment_crash_two_upstreams_at_most(self):
         """The query arrives at all instances at once, before any of them can notify the others."""
-        load = CallerLoad(WIDE, 5, [build_load_contract()])
+        load = CallerLoad(LARGE_SIZE, 5, [build_load_contract()])
         load.add(CallerStream("lookup", 0.3 * CAPACITY_PER_S, end_ms=9_000.0))
         load.run.queue.run_until(9_500.0)
         answers = []
--- a/packages/geraniumlead-standins/tests/standins_tests/bench/test_fleet_load.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/bench/test_fleet_load.py
@@ -32,9 +32,9 @@
     def test_a_slow_fleet_serves_its_normal_load(self):
         """Guard against late acknowledgements of slow peers that use up the extra attempts.
 
-        All shards of the late groups were sent again. That used up the budget, and without it
-        the next late acknowledgement was a failure: two thirds of the normal load failed, without
-        any fault.
+        Every shard of a late shard group got a second attempt. That used up the budget, and
+        without it the next late acknowledgement was a failure: two thirds of the normal load
+        failed, without any fault.
         """
         self.assertGreater(self.mean(CALM_MS, BURST_MS), 0.6)
 
--- a/packages/geraniumlead-standins/tests/standins_tests/capacity/test_page.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/capacity/test_page.py
@@ -6,7 +6,7 @@
 from msgspec.json import decode
 
 from geraniumlead_standins.capacity.deployment_size import TARGET
-from geraniumlead_standins.capacity.fits import Line, build_slope
+from geraniumlead_standins.capacity.fits import LinearFit, build_fit_record
 from geraniumlead_standins.capacity.node_costs import NodeCosts
 from geraniumlead_standins.capacity.page import render_page
 
@@ -28,19 +28,19 @@
             with self.subTest(name=name):
                 self.assertGreaterEqual(len(line["points"]), 4)
                 sizes, values = zip(*line["points"], strict=True)
-                fitted = Line.from_points(list(sizes), list(values))
+                fitted = LinearFit.from_points(list(sizes), list(values))
                 self.assertAlmostEqual(
                     line["slope"], fitted.slope, delta=0.001 + 1e-3 * abs(fitted.slope)
                 )
 
     def test_target_keeps_the_connection_limit(self):
         costs = NodeCosts.from_slopes(TARGET, self.measured)
-        most = TARGET.servers * TARGET.connections_per_server / TARGET.nodes
-        self.assertLessEqual(costs.connections, most + 1e-6)
+        max_connections = TARGET.servers * TARGET.connections_per_server / TARGET.nodes
+        self.assertLessEqual(costs.connections, max_connections + 1e-6)
         self.assertGreater(costs.owners_per_upstream, 1)
 
 
 class FitTests(TestCase):
     def test_three_sizes_are_not_enough(self):
         with self.assertRaises(ValueError):
-            build_slope("us", "shard", [(1.0, 1.0), (2.0, 2.0), (3.0, 3.0)])
+            build_fit_record("us", "shard", [(1.0, 1.0), (2.0, 2.0), (3.0, 3.0)])
