--- a/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/stub_upstream.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/forwarding/stub_upstream.py
@@ -7,7 +7,14 @@
 
 
 class UpstreamFault(StrEnum):
-    """The fault with which a stub upstream answers."""
+    """The fault with which a stub upstream answers.
+
+    ``SHED`` refuses a request without executing it, and ``FAIL`` answers 500. ``HANG`` never
+    answers. ``RESET`` resets the connection instead of answering, and ``CUT`` closes it before
+    the last byte of the body. ``UNFRAMED_RESET`` sends a body without a content length and then
+    resets the connection. ``EXTRA_LATE`` sends a second response that nobody requested after the
+    answer. ``ENCODED`` labels a plain body as compressed.
+    """
 
     NONE = "none"
     SHED = "shed"
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/balancer.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/balancer.py
@@ -2,7 +2,7 @@
 
 from geraniumlead_standins.histories.recorded_run import RecordedRun
 
-POLL_MS = 1_000.0
+POLL_INTERVAL_MS = 1_000.0
 
 
 class Balancer:
@@ -27,4 +27,4 @@
             for name, host in sorted(self._run.instances.items())
             if host.is_alive and not host.is_frozen and host.instance.parts.is_ready
         ]
-        self._run.queue.add(self._run.now_ms + POLL_MS, self._poll)
+        self._run.queue.add(self._run.now_ms + POLL_INTERVAL_MS, self._poll)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/failures.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/failures.py
@@ -229,7 +229,9 @@
     """Two operators publish conflicting states of a data centre and conflicting contracts."""
     for number in range(6):
         state = ("out", "in")[number % 2]
-        testbed.schedule(at_ms + 7.0 * number, lambda s=state: testbed.set_data_centre(NOORD, s))
+        testbed.schedule(
+            at_ms + 7.0 * number, lambda s=state: testbed.set_data_centre_state(NOORD, s)
+        )
         testbed.schedule(at_ms + 7.0 * number, lambda w=number: testbed.change_contract(w % 3 + 1))
 
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/operation_attempt.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/operation_attempt.py
@@ -4,8 +4,11 @@
 
 
 @dataclass(slots=True)
-class OpenRequest:
-    """One attempt of an operation; ``is_closed`` once its caller saw the outcome or left."""
+class OperationAttempt:
+    """One attempt of an operation, as a request to one instance.
+
+    ``is_closed`` is set once its caller saw the outcome or disconnected.
+    """
 
     request_id: str
     operation: Operation
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/recorded_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/recorded_run.py
@@ -91,7 +91,7 @@
         self.link.loss = share
 
     def set_platform(self, is_down: bool = False, stale_at_revision: int | None = None) -> None:
-        """Make the platform down, stale or healthy, and let its watchers read again."""
+        """Set the platform to down, stale or healthy, and make its watchers read again."""
         self.platform.is_down = is_down
         self.platform.stale_at_revision = stale_at_revision
         if is_down:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/scenario.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/scenario.py
@@ -59,7 +59,7 @@
         random.uniform(3e3, 8e3), lambda: testbed.set_upstream_states(data_centre, {leaving})
     )
     out_ms = random.uniform(3_000.0, 8_000.0)
-    testbed.schedule(out_ms, lambda: testbed.set_data_centre(NOORD, "out"))
+    testbed.schedule(out_ms, lambda: testbed.set_data_centre_state(NOORD, "out"))
     testbed.schedule(out_ms + 9_000.0, lambda: testbed.bring_back(NOORD))
     testbed.schedule(random.uniform(3e3, 12e3), lambda: testbed.change_contract(weight=5))
     stopped, stop_ms = random.choice(testbed.instance_names), random.uniform(3e3, 9e3)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/simulated_callers.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/simulated_callers.py
@@ -7,15 +7,15 @@
 from geraniumlead.events import CallerDisconnected, QueryArrived, TicketRequested
 from geraniumlead.requests import Answered, CallerRequest, Failed, NotRun, Outcome, Unknown
 from geraniumlead_standins.histories.balancer import Balancer
-from geraniumlead_standins.histories.open_request import OpenRequest
 from geraniumlead_standins.histories.operation import Operation
+from geraniumlead_standins.histories.operation_attempt import OperationAttempt
 from geraniumlead_standins.histories.recorded_run import RecordedRun
 from geraniumlead_standins.history import RecordSeen
 from geraniumlead_standins.virtual.small_cluster import CUSTOMER, SERVICE
 
-ONE_WAY_MS = 1.0
+ONE_WAY_DELAY_MS = 1.0
 ANSWER_GRACE_MS = 400.0
-FROZEN_POLL_MS = 20.0
+FROZEN_POLL_INTERVAL_MS = 20.0
 MAX_ATTEMPTS = 4
 DEADLINES_MS = {"lookup": 200.0, "booking": 500.0}
 MIN_COVERAGE = 0.3
@@ -33,13 +33,13 @@
         self._balancer = balancer
         self._random = random
         self._numbers = count()
-        self._open: dict[str, OpenRequest] = {}
+        self._open: dict[str, OperationAttempt] = {}
         self._ticket_requests: dict[str, Operation] = {}
         run.on_answer = self._handle_answer
         run.on_kill = self._reset_connections
 
     def start(self, operation: Operation) -> None:
-        """Start an operation now."""
+        """Send an operation now, or first request its ticket if it needs one and has none."""
         if operation.idempotent or operation.ticket:
             self._send(operation)
             if operation.sends_twice:
@@ -49,7 +49,7 @@
         self._ticket_requests[request_id] = operation
         name = self._balancer.choose()
         event = TicketRequested(request_id, CUSTOMER, operation.class_name)
-        self._schedule(ONE_WAY_MS, lambda: self._run.deliver(name, event))
+        self._schedule(ONE_WAY_DELAY_MS, lambda: self._run.deliver(name, event))
         self._schedule(ANSWER_GRACE_MS, lambda: self._retry_ticket_request(request_id))
 
     def _retry_ticket_request(self, request_id: str) -> None:
@@ -60,7 +60,7 @@
 
     def _send(self, operation: Operation) -> None:
         operation.attempts += 1
-        request = OpenRequest(
+        request = OperationAttempt(
             f"q{next(self._numbers)}",
             operation,
             self._balancer.choose(),
@@ -80,19 +80,19 @@
             attempt=operation.attempts,
             deadline_ms=request.deadline_ms,
         )
-        self._schedule(ONE_WAY_MS, lambda: self._deliver(request))
+        self._schedule(ONE_WAY_DELAY_MS, lambda: self._deliver(request))
         self._schedule(request.deadline_ms + ANSWER_GRACE_MS, lambda: self._time_out(request))
         if operation.gives_up_after_ms is not None and operation.attempts == 1:
             self._schedule(operation.gives_up_after_ms, lambda: self._disconnect(request))
 
-    def _deliver(self, request: OpenRequest) -> None:
+    def _deliver(self, request: OperationAttempt) -> None:
         host = self._run.instances[request.instance]
         if not host.is_alive:
             self._close(request, "lost", reason="connection refused")
             return
         if host.is_frozen:
             # The bytes wait in the socket buffer until the process resumes and reads them.
-            self._schedule(FROZEN_POLL_MS, lambda: self._deliver(request))
+            self._schedule(FROZEN_POLL_INTERVAL_MS, lambda: self._deliver(request))
             return
         operation, now_ms = request.operation, self._run.now_ms
         caller_request = CallerRequest(
@@ -119,13 +119,13 @@
                 operation = self._ticket_requests.pop(request_id, None)
                 if operation is not None and ticket is not None:
                     operation.ticket = ticket
-                    self._schedule(ONE_WAY_MS, lambda: self.start(operation))
+                    self._schedule(ONE_WAY_DELAY_MS, lambda: self.start(operation))
             case AnswerCaller(request_id=request_id, outcome=outcome):
                 request = self._open.get(request_id)
                 if request is not None:
-                    self._schedule(ONE_WAY_MS, lambda: self._handle_outcome(request, outcome))
+                    self._schedule(ONE_WAY_DELAY_MS, lambda: self._handle_outcome(request, outcome))
 
-    def _handle_outcome(self, request: OpenRequest, outcome: Outcome) -> None:
+    def _handle_outcome(self, request: OperationAttempt, outcome: Outcome) -> None:
         match outcome:
             case Answered(index_version=version, coverage=coverage, records=records):
                 self._close(
@@ -144,7 +144,7 @@
             case Failed(detail=detail):
                 self._close(request, "failed", reason=detail)
 
-    def _close(self, request: OpenRequest, outcome: str, **fields) -> None:
+    def _close(self, request: OperationAttempt, outcome: str, **fields) -> None:
         if request.has_timed_out:
             return
         self._run.recorder.record(
@@ -162,13 +162,13 @@
         if not operation.is_done and operation.attempts < MAX_ATTEMPTS:
             self._schedule(pause_ms, lambda: operation.is_done or self._send(operation))
 
-    def _time_out(self, request: OpenRequest) -> None:
+    def _time_out(self, request: OperationAttempt) -> None:
         if not request.is_closed:
             self._close(request, "lost", reason="timeout")
             request.has_timed_out = True
             self._run.deliver(request.instance, CallerDisconnected(request.request_id))
 
-    def _disconnect(self, request: OpenRequest) -> None:
+    def _disconnect(self, request: OperationAttempt) -> None:
         if request.is_closed:
             return
         request.is_closed = request.has_timed_out = True
@@ -179,9 +179,9 @@
     def _reset_connections(self, name: str) -> None:
         for request in self._open.values():
             if request.instance == name and not request.is_closed:
-                self._schedule(ONE_WAY_MS, lambda request=request: self._reset(request))
+                self._schedule(ONE_WAY_DELAY_MS, lambda request=request: self._reset(request))
 
-    def _reset(self, request: OpenRequest) -> None:
+    def _reset(self, request: OperationAttempt) -> None:
         if not request.is_closed:
             self._close(request, "lost", reason="connection reset")
             request.has_timed_out = True
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/histories/testbed.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/histories/testbed.py
@@ -90,7 +90,7 @@
         value = None if document is None else encode(document)
         self.run.publish({document_key(kind, *parts): value})
 
-    def set_data_centre(self, name: str, state: str) -> None:
+    def set_data_centre_state(self, name: str, state: str) -> None:
         """Publish the state of a data centre, ``in`` or ``out``."""
         document = DataCentreDocument(name=name, region=name, state=state)
         self.publish(DocumentKind.DATA_CENTRE, name, document=document)
@@ -104,7 +104,7 @@
             for upstream_id in self.upstream_ids(name):
                 upstream = self.run.find_upstream(upstream_id)
                 upstream.turn_cold(COLD_ANSWERS, reason=WHILE_AWAY)
-        self.set_data_centre(name, "in")
+        self.set_data_centre_state(name, "in")
 
     def set_upstream_states(self, data_centre: str, leaving: set[str]) -> None:
         """Publish a data centre's upstreams, with those in ``leaving`` as leaving."""
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/__main__.py
@@ -7,7 +7,7 @@
 from geraniumlead_standins.history.checks import check_all
 from geraniumlead_standins.history.history import History
 
-MAX_SHOWN = 20
+MAX_SHOWN_VIOLATIONS = 20
 
 
 def main() -> int:
@@ -19,7 +19,7 @@
         print(
             f"{result.invariant}: {result.operations} operations, {len(result.violations)} broken"
         )
-        for violation in result.violations[:MAX_SHOWN]:
+        for violation in result.violations[:MAX_SHOWN_VIOLATIONS]:
             print(f"  {violation.at_ns}: {violation.detail}")
     return 1 if any(result.violations for result in results) else 0
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/__init__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/__init__.py
@@ -1,4 +1,8 @@
-"""Checks of one invariant each over a history; none depends on the system's internals."""
+"""Checks of one invariant each over a history; none depends on the system's internals.
+
+The docstring of a check names the clock whose times it compares, and the allowance: how late an
+event may be before it counts as a violation.
+"""
 
 from collections.abc import Callable
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/cold_load.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/checks/cold_load.py
@@ -14,7 +14,8 @@
 
 WHILE_AWAY = "while away"
 """Reason of a cold start during which the upstream was leaving or its data centre was out.
-Whoever returns it to service can know that it is cold, so there is no notice allowance."""
+Instances have to expect it to be cold when it returns to service, so there is no notice
+allowance."""
 
 
 def check_cold_load(history: History) -> CheckResult:
@@ -27,12 +28,12 @@
     ``NOTICE_ALLOWANCE_NS`` since.
     """
     result = CheckResult("cold load")
-    loads: dict[str, _Load] = {}
+    loads: dict[str, _ColdState] = {}
     for event in history.get_events("received", "ended", "turned_cold", "turned_warm"):
-        load = loads.setdefault(event.who, _Load())
+        load = loads.setdefault(event.who, _ColdState())
         match event.event:
             case "turned_cold":
-                loads[event.who] = _Load.from_event(event)
+                loads[event.who] = _ColdState.from_event(event)
             case "turned_warm":
                 load.is_cold = False
             case "ended":
@@ -48,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class _Load:
+class _ColdState:
     """The cold state of one upstream and the calls that count against its allowance.
 
     ``known_from_ns`` says from when each instance that had a call end there knows that the
@@ -63,7 +64,7 @@
     calls: set[str] = field(default_factory=set)
 
     @classmethod
-    def from_event(cls, event: HistoryEvent) -> "_Load":
+    def from_event(cls, event: HistoryEvent) -> "_ColdState":
         load = cls(True, event.allowance)
         if event.reason == WHILE_AWAY:
             load.shared_from_ns = event.at_ns - NOTICE_ALLOWANCE_NS
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/event.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/event.py
@@ -10,9 +10,8 @@
 
     ``who`` is the process or component that saw the event at ``at_ns``. Fields that an event
     does not use keep their defaults. ``token`` identifies the operation of a request: all its
-    attempts share it.
-    ``instance`` is the entry instance that a caller sent the request to, the instance that
-    called an upstream, or the one whose process changed its state.
+    attempts share it. ``instance`` is the entry instance that a caller sent the request to, the
+    instance that called an upstream, or the one whose process changed its state.
     """
 
     at_ns: int
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/history/history.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/history/history.py
@@ -76,12 +76,12 @@
     @cached_property
     def data_centre_by_upstream(self) -> dict[str, str]:
         """Return the data centre of every upstream that was ever listed."""
-        homes = {}
+        data_centres = {}
         for event in self.get_events("published"):
             if event.key.startswith(UPSTREAM_LIST_PREFIX) and event.value is not None:
                 for entry in event.value["upstreams"]:
-                    homes[entry["upstream_id"]] = event.value["data_centre"]
-        return homes
+                    data_centres[entry["upstream_id"]] = event.value["data_centre"]
+        return data_centres
 
     @cached_property
     def reachability(self) -> Reachability:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/load/answer_check.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/load/answer_check.py
@@ -24,8 +24,8 @@
 
 def _check_records(sent: SentRequest, records: list[dict]) -> None:
     # The id of a stand-in's record begins with the index version and the shard it comes from.
-    names = [record["id"] for record in records]
-    if len(names) != sent.answered_shards or len(set(names)) != len(names):
+    record_ids = [record["id"] for record in records]
+    if len(record_ids) != sent.answered_shards or len(set(record_ids)) != len(record_ids):
         sent.faults.append("records do not match the answered shards")
-    if any(not name.startswith(f"v{sent.index_version}-") for name in names):
+    if any(not record_id.startswith(f"v{sent.index_version}-") for record_id in record_ids):
         sent.faults.append("records of another index version")
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/__main__.py
@@ -21,7 +21,7 @@
 
 START_S = 4.0
 SETTLE_S = 4.0
-MAX_SHOWN = 5
+MAX_SHOWN_VIOLATIONS = 5
 
 
 async def soak(
@@ -60,7 +60,7 @@
         print(
             f"{result.invariant}: {result.operations} operations, {len(result.violations)} broken"
         )
-        for violation in result.violations[:MAX_SHOWN]:
+        for violation in result.violations[:MAX_SHOWN_VIOLATIONS]:
             print(f"  {violation.detail}")
 
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/callers.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/callers.py
@@ -10,7 +10,7 @@
 
 DEADLINE_MS = 1_500.0
 TIMEOUT_S = 3.0
-POLL_S = 1.0
+POLL_INTERVAL_S = 1.0
 MAX_ATTEMPTS = 4
 HEADERS = {"Authorization": f"Bearer {CREDENTIAL}", "Content-Type": "application/json"}
 
@@ -50,12 +50,12 @@
             )
             names = [name for name, ready in zip(self._layout.instances, found, strict=True)]
             self._ready = [name for name, ready in zip(names, found, strict=True) if ready]
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _is_ready(self, session: ClientSession, name: str) -> bool:
         url = f"http://{self._layout.address_of(name, 0)}/ready"
         try:
-            async with session.get(url, timeout=ClientTimeout(total=POLL_S)) as response:
+            async with session.get(url, timeout=ClientTimeout(total=POLL_INTERVAL_S)) as response:
                 return response.status == 200
         except (ClientError, TimeoutError, OSError):
             return False
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/fleet.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/fleet.py
@@ -8,7 +8,7 @@
 
 STOP_TIMEOUT_S = 35.0
 START_TIMEOUT_S = 20.0
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 class Fleet:
@@ -55,7 +55,7 @@
                 try:
                     _, writer = await asyncio.open_connection(host, int(port))
                 except OSError:
-                    await asyncio.sleep(POLL_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
                     continue
                 writer.close()
                 return
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/soak/status_poller.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/soak/status_poller.py
@@ -6,7 +6,7 @@
 from geraniumlead_standins.soak.fleet import Fleet
 from geraniumlead_standins.soak.layout import Layout
 
-POLL_S = 0.5
+POLL_INTERVAL_S = 0.5
 
 
 class StatusPoller:
@@ -29,7 +29,7 @@
         """Poll until cancelled."""
         while True:
             await asyncio.gather(*(self._poll_status(session, name) for name in self._histories))
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _poll_status(self, session: ClientSession, name: str) -> None:
         incarnation = self._fleet.incarnation_of(name)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/startup/__main__.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/startup/__main__.py
@@ -41,7 +41,7 @@
 
 
 class StartupMeasurements(Struct, kw_only=True):
-    """The results of one run."""
+    """The start times of an instance, and its memory when idle, warmed up and at peak load."""
 
     ready_s: list[float]
     idle_mb: float
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/upstream/app.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/upstream/app.py
@@ -11,7 +11,7 @@
 DOWNTIME_AFTER_CRASH_S = 2.0
 SILENCE_DURATION_S = 3_600.0
 CRASH_TEXT = b'"crash"'
-QUEUED_PER_SLOT = 8
+MAX_QUEUED_PER_SLOT = 8
 
 
 class UpstreamApp:
@@ -85,7 +85,7 @@
             return web.json_response({"error": "wrong_version", "held_versions": held}, status=409)
         if self._cold_answers_left > 0 and self._running >= self.plan.cold_allowance:
             self._crash("fell_over", request, body)
-        if self._running >= self.plan.slots * QUEUED_PER_SLOT:
+        if self._running >= self.plan.slots * MAX_QUEUED_PER_SLOT:
             return web.json_response({"error": "shed", "retry_after_ms": 20}, status=503)
         return None
 
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_upstream.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/fake_upstream.py
@@ -20,7 +20,7 @@
 )
 from geraniumlead_standins.virtual.event_queue import EventQueue
 
-DOWN_AFTER_CRASH_MS = 2_000.0
+DOWNTIME_AFTER_CRASH_MS = 2_000.0
 LONG_QUERY_TEXT = b"long job"
 LONG_QUERY_FACTOR = 50.0
 """A query that contains ``LONG_QUERY_TEXT`` takes this many times as long as others."""
@@ -220,7 +220,7 @@
     def _go_down(self, event: str, call: AcceptedCall) -> None:
         self._log_call(event, call)
         self._log_call("ended", call)
-        self.down_until_ms = self.queue.now_ms + DOWN_AFTER_CRASH_MS
+        self.down_until_ms = self.queue.now_ms + DOWNTIME_AFTER_CRASH_MS
         call.answer(ConnectionLost(event))
         self._drop_all_calls()
         if event == "crashed" and self.cold_after_crash:
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/virtual_run.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/virtual/virtual_run.py
@@ -31,8 +31,8 @@
 from geraniumlead_standins.virtual.virtual_instance import VirtualInstance
 
 PLATFORM = "platform"
-PLATFORM_RETRY_MS = 500.0
-WATCH_CHECK_MS = 1_000.0
+PLATFORM_RETRY_DELAY_MS = 500.0
+WATCH_CHECK_INTERVAL_MS = 1_000.0
 """Interval at which a watcher checks whether its watch missed changes, as the client does."""
 
 AnswerObserver = Callable[[str, AnswerCaller | AnswerTicketRequest, float], None]
@@ -251,20 +251,20 @@
         host.is_watching = False
         if action.stop:
             return
-        number = host.watch_number
-        self.queue.add(self.now_ms, lambda: self._answer_read(name, host, number, action))
+        watch_number = host.watch_number
+        self.queue.add(self.now_ms, lambda: self._answer_read(name, host, watch_number, action))
 
     def _answer_read(
-        self, name: str, host: VirtualInstance, number: int, action: ReadPlatform
+        self, name: str, host: VirtualInstance, watch_number: int, action: ReadPlatform
     ) -> None:
-        if host.watch_number != number or not host.is_alive:
+        if host.watch_number != watch_number or not host.is_alive:
             return
         if not self._is_platform_reachable(name):
             self.deliver(name, PlatformReadFailed("no answer"))
             if not action.watch:
                 return
-            retry_ms = self.now_ms + PLATFORM_RETRY_MS
-            self.queue.add(retry_ms, lambda: self._answer_read(name, host, number, action))
+            retry_ms = self.now_ms + PLATFORM_RETRY_DELAY_MS
+            self.queue.add(retry_ms, lambda: self._answer_read(name, host, watch_number, action))
             return
         revision, documents = self.platform.read()
         host.is_watching = action.watch
@@ -273,24 +273,24 @@
         delay_ms = (self.link.draw_delay_ms(PLATFORM, name) or 0.0) + self.platform.delay_ms
         self.queue.add(self.now_ms + delay_ms, lambda: self.deliver(name, event))
         if action.watch:
-            check_ms = self.now_ms + WATCH_CHECK_MS
-            self.queue.add(check_ms, lambda: self._check_watch(name, host, number, action))
+            check_ms = self.now_ms + WATCH_CHECK_INTERVAL_MS
+            self.queue.add(check_ms, lambda: self._check_watch(name, host, watch_number, action))
 
     def _check_watch(
-        self, name: str, host: VirtualInstance, number: int, action: ReadPlatform
+        self, name: str, host: VirtualInstance, watch_number: int, action: ReadPlatform
     ) -> None:
-        if host.watch_number != number or not host.is_alive:
+        if host.watch_number != watch_number or not host.is_alive:
             return
         if not self._is_platform_reachable(name):
-            self._answer_read(name, host, number, action)
+            self._answer_read(name, host, watch_number, action)
             return
         revision = self.platform.check()
         if revision != host.seen_revision:
-            self._answer_read(name, host, number, action)
+            self._answer_read(name, host, watch_number, action)
             return
         self.deliver(name, DocumentsReceived(revision, (), False, above_revision=revision))
-        check_ms = self.now_ms + WATCH_CHECK_MS
-        self.queue.add(check_ms, lambda: self._check_watch(name, host, number, action))
+        check_ms = self.now_ms + WATCH_CHECK_INTERVAL_MS
+        self.queue.add(check_ms, lambda: self._check_watch(name, host, watch_number, action))
 
     def _is_platform_reachable(self, name: str) -> bool:
         cut = self.link.cut
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/builders.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/builders.py
@@ -50,12 +50,12 @@
         self.run_for(SETTLED_MS)
         for number in range(WARM_UP_QUERIES):
             for name in self.run.instances:
-                self.ask(name, f"proof-{name}-{number}")
+                self.send_lookup(name, f"proof-{name}-{number}")
             self.run_for(200.0)
         self.calls.clear()
         self.outcomes.clear()
 
-    def ask(
+    def send_lookup(
         self, name: str, request_id: str, allowed_ms: float = 1_000.0, least_coverage: float = 1.0
     ) -> None:
         """Send a lookup to an instance."""
@@ -65,7 +65,7 @@
         )
         self.run.deliver(name, QueryArrived(request))
 
-    def book(self, name: str, request_id: str, ticket: str, allowed_ms: float) -> None:
+    def send_booking(self, name: str, request_id: str, ticket: str, allowed_ms: float) -> None:
         """Send a booking with a ticket to an instance."""
         now_ms = self.run.now_ms
         request = CallerRequest(
@@ -81,7 +81,7 @@
         )
         self.run.deliver(name, QueryArrived(request))
 
-    def set_data_centre(self, name: str, state: str) -> None:
+    def set_data_centre_state(self, name: str, state: str) -> None:
         """Publish the state of a data centre, ``in`` or ``out``."""
         key = document_key(DocumentKind.DATA_CENTRE, name)
         document = DataCentreDocument(name=name, region=name, state=state)
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_leaving.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_leaving.py
@@ -26,30 +26,30 @@
     """Return a cluster that has found all its upstreams warm."""
     recorded = RecordedCluster.from_size(size, 1, timing)
     recorded.run_for(SETTLED_MS)
-    ask_everywhere(recorded, "warm", 2)
+    send_lookups(recorded, "warm", 2)
     recorded.run_for(SETTLED_MS)
-    ask_everywhere(recorded, "warm-again", 1)
+    send_lookups(recorded, "warm-again", 1)
     recorded.run_for(SETTLED_MS)
     recorded.outcomes.clear()
     return recorded
 
 
-def ask_everywhere(recorded: RecordedCluster, prefix: str, seconds: int) -> None:
+def send_lookups(recorded: RecordedCluster, prefix: str, seconds: int) -> None:
     """Send a lookup every 100 ms to each instance that is alive and not stopping."""
     for number in range(seconds * 10):
         for name, host in recorded.run.instances.items():
             if host.is_alive and not host.instance.parts.lifecycle.is_stopping:
-                recorded.ask(name, f"{prefix}-{number}-{name}", allowed_ms=400.0)
+                recorded.send_lookup(name, f"{prefix}-{number}-{name}", allowed_ms=400.0)
         recorded.run_for(100.0)
 
 
 class DataCentreTests(TestCase):
     def test_out_gets_no_new_work_and_turns_unready_and_comes_back(self):
         recorded = build_settled()
-        ask_everywhere(recorded, "before", 1)
+        send_lookups(recorded, "before", 1)
         out_ms = recorded.run.now_ms
-        recorded.set_data_centre("noord", "out")
-        ask_everywhere(recorded, "out", 3)
+        recorded.set_data_centre_state("noord", "out")
+        send_lookups(recorded, "out", 3)
         late_calls = [
             call
             for call in recorded.calls
@@ -58,11 +58,11 @@
         self.assertEqual([], late_calls)
         self.assertFalse(recorded.instance("noord-0").parts.is_ready)
         self.assertTrue(recorded.instance("zuid-0").parts.is_ready)
-        recorded.set_data_centre("noord", "in")
+        recorded.set_data_centre_state("noord", "in")
         recorded.run_for(1_000.0)
         self.assertTrue(recorded.instance("noord-0").parts.is_ready)
         before = len(recorded.calls)
-        recorded.ask("noord-0", "back")
+        recorded.send_lookup("noord-0", "back")
         recorded.run_for(500.0)
         self.assertTrue(
             any(address.startswith("10.0.0.") for _, _, address in recorded.calls[before:])
@@ -76,7 +76,7 @@
         zuid = {name for name in recorded.run.instances if name not in noord}
         recorded.run.link.cut_between(noord, zuid | {"platform"})
         recorded.run_for(60_000.0)
-        recorded.ask("noord-0", "r1")
+        recorded.send_lookup("noord-0", "r1")
         recorded.run_for(1_000.0)
         self.assertIsInstance(recorded.outcomes["r1"], Answered)
         status = recorded.instance("noord-0").status(recorded.run.now_ms)
@@ -112,7 +112,7 @@
         recorded = build_warm(LARGE_DATA_CENTRE)
         for number in range(3):
             recorded.run.deliver(f"noord-{number}", StopRequested())
-            ask_everywhere(recorded, f"stop-{number}", 1)
+            send_lookups(recorded, f"stop-{number}", 1)
         recorded.run_for(5_000.0)
         for number in range(3):
             self.assertFalse(recorded.run.instances[f"noord-{number}"].is_alive)
@@ -133,7 +133,7 @@
         for upstream in recorded.run.upstreams.values():
             upstream.median_ms, upstream.sigma = 1_000.0, 0.0
         before = len(recorded.calls)
-        recorded.ask("noord-0", "slow", allowed_ms=8_000.0)
+        recorded.send_lookup("noord-0", "slow", allowed_ms=8_000.0)
         recorded.run_for(50.0)
         owner = next(name for _, name, _ in recorded.calls[before:] if name != "noord-0")
         recorded.run.deliver(owner, StopRequested())
@@ -171,7 +171,7 @@
         recorded.run.deliver("noord-0", StopRequested())
         for second in range(29):
             # The balancer never notices the stop, so a request is always open.
-            recorded.ask("noord-0", f"r{second}", allowed_ms=2_500.0)
+            recorded.send_lookup("noord-0", f"r{second}", allowed_ms=2_500.0)
             recorded.run.deliver("noord-0", StopRequested())
             recorded.run_for(1_000.0)
         self.assertTrue(recorded.run.instances["noord-0"].is_alive)
@@ -183,7 +183,7 @@
         recorded.run.deliver("noord-0", StopRequested())
         recorded.run_for(300.0)
         recorded.run.kill("noord-0")
-        ask_everywhere(recorded, "after", 2)
+        send_lookups(recorded, "after", 2)
         for outcome in recorded.outcomes.values():
             self.assertIsInstance(outcome, Answered)
 
@@ -192,9 +192,9 @@
     def test_a_dead_owner_is_routed_around_within_the_timeout(self):
         recorded = build_warm(LARGE_DATA_CENTRE)
         recorded.run.kill("noord-3")
-        ask_everywhere(recorded, "while", 4)
+        send_lookups(recorded, "while", 4)
         recorded.outcomes.clear()
-        ask_everywhere(recorded, "after", 2)
+        send_lookups(recorded, "after", 2)
         recorded.run_for(1_000.0)
         incomplete = [
             name for name, found in recorded.outcomes.items() if not isinstance(found, Answered)
@@ -223,7 +223,7 @@
             upstream.median_ms, upstream.sigma = 1_000.0, 0.0
         before = len(recorded.calls)
         started_ms = recorded.run.now_ms
-        recorded.ask("noord-0", "slow", allowed_ms=10_000.0)
+        recorded.send_lookup("noord-0", "slow", allowed_ms=10_000.0)
         recorded.run_for(100.0)
         owner = next(name for _, name, _ in recorded.calls[before:] if name != "noord-0")
         recorded.run.kill(owner)
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_spread.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_spread.py
@@ -149,9 +149,9 @@
 class OperatorsRaceTests(TestCase):
     def test_the_order_of_the_platform_decides_everywhere(self):
         recorded = build_settled()
-        recorded.set_data_centre("noord", "out")
-        recorded.set_data_centre("noord", "in")
-        recorded.set_data_centre("noord", "out")
+        recorded.set_data_centre_state("noord", "out")
+        recorded.set_data_centre_state("noord", "in")
+        recorded.set_data_centre_state("noord", "out")
         recorded.run_for(IN_FORCE_MS)
         states = {
             host.instance.parts.store.view.is_data_centre_in_service("noord")
--- a/packages/geraniumlead-standins/tests/standins_tests/membership/test_start.py
+++ b/packages/geraniumlead-standins/tests/standins_tests/membership/test_start.py
@@ -21,7 +21,7 @@
         recorded = RecordedCluster.from_size(TWO_DATA_CENTRES)
         recorded.run_for(SETTLED_MS)
         stale_revision = recorded.run.platform.revision
-        recorded.set_data_centre("zuid", "out")
+        recorded.set_data_centre_state("zuid", "out")
         recorded.run_for(1_000.0)
         recorded.run.platform.stale_at_revision = stale_revision
         recorded.run.kill("noord-0")
@@ -55,7 +55,7 @@
         recorded.run.start_instance(recorded.cluster.settings["noord-0"])
         recorded.run_for(5_000.0)
         self.assertFalse(recorded.instance("noord-0").parts.is_ready)
-        recorded.ask("noord-0", "r1")
+        recorded.send_lookup("noord-0", "r1")
         self.assertEqual(RefusalReason.OUT_OF_SERVICE, recorded.outcomes["r1"].reason)
         tickets = []
         recorded.run.on_answer = lambda name, action, now_ms: tickets.append(action)
@@ -63,6 +63,6 @@
         self.assertEqual(RefusalReason.OUT_OF_SERVICE, tickets[0].refusal.reason)
         recorded.run.platform.is_down = False
         recorded.run_for(3_000.0)
-        recorded.ask("noord-0", "r2")
+        recorded.send_lookup("noord-0", "r2")
         recorded.run_for(1_000.0)
         self.assertIsInstance(recorded.outcomes["r2"], Answered)
