--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/control.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/control.py
@@ -63,7 +63,7 @@
         self.payload_bytes = 0
         self.run.on_action = self._count_sent
         self._names = list(self.run.instances)
-        self.run.publish(_remote_lists(instances))
+        self.run.publish(_build_remote_instance_lists(instances))
 
     def measure(self) -> dict:
         """Return the costs of one node per second."""
@@ -104,11 +104,11 @@
         self._original_handle = Instance.handle
 
     def __enter__(self) -> "HandleTimer":
-        plain, timer = self._original_handle, self
+        original_handle, timer = self._original_handle, self
 
         def timed(instance, event, now_ms):
             started_s = perf_counter()
-            actions = plain(instance, event, now_ms)
+            actions = original_handle(instance, event, now_ms)
             timer.elapsed_s += perf_counter() - started_s
             timer.calls += 1
             return actions
@@ -120,7 +120,7 @@
         Instance.handle = self._original_handle
 
 
-def _remote_lists(instances: int) -> dict[str, bytes]:
+def _build_remote_instance_lists(instances: int) -> dict[str, bytes]:
     values = {}
     for data_centre_number in range(REMOTE_DATA_CENTRES):
         name = f"remote{data_centre_number}"
@@ -133,7 +133,7 @@
     return values
 
 
-def _upstream_lists() -> dict[str, bytes]:
+def _build_remote_upstream_lists() -> dict[str, bytes]:
     values = {}
     for data_centre_number in range(REMOTE_DATA_CENTRES):
         name = f"remote{data_centre_number}"
@@ -159,12 +159,12 @@
     cluster = SmallCluster.from_size(ClusterSize(instances=1), 1)
     run = cluster.run
     tracemalloc.start()
-    run.publish(_remote_lists(instances) | _upstream_lists())
+    run.publish(_build_remote_instance_lists(instances) | _build_remote_upstream_lists())
     run.queue.run_until(SETTLE_MS)
     held_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     contract_ms = [_time_change(run, _contract_value(number)) for number in range(CHANGES)]
-    lists = _remote_lists(instances - 1)
+    lists = _build_remote_instance_lists(instances - 1)
     list_ms = [_time_change(run, {key: value}) for key, value in lists.items()]
     return {
         "instances": instances * REMOTE_DATA_CENTRES,
@@ -192,10 +192,10 @@
     return timer.elapsed_s * 1_000.0
 
 
-async def _time_transport(size: int, plain: bool) -> float:
+async def _time_transport(size: int, use_plain_socket: bool) -> float:
     """Return the CPU microseconds of one process that sends and receives one message."""
     context = zmq.asyncio.Context()
-    router = context.socket(zmq.ROUTER, socket_class=zmq.Socket if plain else None)
+    router = context.socket(zmq.ROUTER, socket_class=zmq.Socket if use_plain_socket else None)
     router.setsockopt(zmq.RCVHWM, 0)
     port = router.bind_to_random_port("tcp://127.0.0.1")
     dealer = context.socket(zmq.DEALER, socket_class=zmq.Socket)
@@ -205,7 +205,7 @@
     started_s = process_time()
     for _ in range(MESSAGES):
         dealer.send(data)
-    if plain:
+    if use_plain_socket:
         await _receive_plain(router)
     else:
         for _ in range(MESSAGES):
@@ -250,8 +250,8 @@
 def measure() -> dict:
     """Run every measurement."""
     transport = {
-        "awaitable_socket_us": round(asyncio.run(_time_transport(120, plain=False)), 2),
-        "plain_socket_us": round(asyncio.run(_time_transport(120, plain=True)), 2),
+        "awaitable_socket_us": round(asyncio.run(_time_transport(120, use_plain_socket=False)), 2),
+        "plain_socket_us": round(asyncio.run(_time_transport(120, use_plain_socket=True)), 2),
         "messages": MESSAGES,
         "note": "one process sends and receives; sending, receiving and the I/O thread together",
     }
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/load.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/fleet_load/load.py
@@ -25,25 +25,35 @@
 DATA_CENTRES = tuple(REGIONS)
 SLOTS = 2
 MAX_CONNECTIONS = 120
-WORK_SPREAD = 0.35
+WORK_SIGMA = 0.35
+"""Sigma of the lognormal distribution of service times."""
+
 SWEEP_SHARE = 0.75
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessorCosts:
-    """Processor time of each kind of work, in milliseconds of a whole core."""
+    """Processor time of each kind of work, in milliseconds of a whole core.
+
+    ``new_connection_ms`` and ``reused_connection_ms`` are the costs of sending a subrequest, on a
+    connection that has to be opened and on an idle one.
+    """
 
     query_ms: float = 0.8
     message_ms: float = 0.3
-    warm_subrequest_ms: float = 0.3
-    cold_subrequest_ms: float = 0.7
+    reused_connection_ms: float = 0.3
+    new_connection_ms: float = 0.7
     answer_ms: float = 0.2
     timer_ms: float = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class QueryKind:
-    """The queries of one route."""
+    """A kind of query, with the name, latency goal and timeout of its route.
+
+    ``min_share`` is the smallest share of the shards with which the route answers, and ``work_ms``
+    the median service time of one subrequest.
+    """
 
     name: str
     goal_ms: float
@@ -89,7 +99,7 @@
     costs: ProcessorCosts = ProcessorCosts()
 
     @property
-    def names(self) -> list[str]:
+    def shard_names(self) -> list[str]:
         """Return the names of the shards."""
         return [f"shard-{number}" for number in range(self.shards)]
 
@@ -104,9 +114,9 @@
         return 0.7 if REGIONS[first] == REGIONS[second] else 20.0
 
     def build_upstreams(self, random: Random) -> list[UpstreamModel]:
-        """Return two upstreams of each shard."""
+        """Return the two upstreams of every shard."""
         upstreams = []
-        for number, name in enumerate(self.names):
+        for number, name in enumerate(self.shard_names):
             for copy in range(2):
                 data_centre = DATA_CENTRES[(number + copy) % len(DATA_CENTRES)]
                 pauses = self._build_pauses(random)
@@ -123,7 +133,7 @@
     def build_configuration(self) -> PublishedConfiguration:
         """Return one route for each kind of query."""
         routes = [self._build_route(kind) for kind in (SWEEP, PEEK)]
-        services = {name: UpstreamService(name, MAX_CONNECTIONS, 0.0) for name in self.names}
+        services = {name: UpstreamService(name, MAX_CONNECTIONS, 0.0) for name in self.shard_names}
         return PublishedConfiguration(1, RouteTable(routes), services)
 
     def build_queries(self, random: Random, dead: set[int]) -> list[tuple[float, int, QueryKind]]:
@@ -156,7 +166,7 @@
             name=kind.name,
             host=HOST,
             prefix=kind.path,
-            target=FanOut(tuple(self.names), 5, kind.min_share),
+            target=FanOut(tuple(self.shard_names), 5, kind.min_share),
             is_idempotent=True,
             timeout_ms=kind.wait_ms,
             latency_goal_ms=kind.goal_ms,
@@ -175,4 +185,4 @@
 
 def draw_work_ms(kind: QueryKind, random: Random) -> float:
     """Return a random service time of an upstream for one subrequest."""
-    return kind.work_ms * random.lognormvariate(0.0, WORK_SPREAD)
+    return kind.work_ms * random.lognormvariate(0.0, WORK_SIGMA)
--- a/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/load_model.py
+++ b/packages/geraniumlead-standins/src/geraniumlead_standins/bench/forwarding_bound/load_model.py
@@ -11,7 +11,8 @@
 PAUSE_EVERY_MS = 6_000.0
 FAULT_FROM_MS = 8_000.0
 FAULT_TO_MS = 16_000.0
-WORK_SPREAD = 0.35
+WORK_SIGMA = 0.35
+"""Sigma of the lognormal distribution of service times."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +39,7 @@
     unresponsive_shards: int = 0
 
     @property
-    def names(self) -> list[str]:
+    def shard_names(self) -> list[str]:
         """Return the names of the shards."""
         return [f"shard-{number}" for number in range(self.shards)]
 
@@ -46,7 +47,7 @@
         """Return the upstreams of all shards; the same seed gives the same ones."""
         random = Random(f"{seed}/{self.name}/upstreams")
         upstreams = []
-        for number, name in enumerate(self.names):
+        for number, name in enumerate(self.shard_names):
             data_centres = random.sample(DATA_CENTRES * 2, self.replicas)
             upstreams += [
                 self._build_upstream(random, number, f"{name}.{copy}", name, data_centre)
@@ -60,7 +61,7 @@
 
     def draw_work_ms(self, random: Random) -> float:
         """Return a random service time of an upstream for one request."""
-        return self.work_ms * random.lognormvariate(0.0, WORK_SPREAD)
+        return self.work_ms * random.lognormvariate(0.0, WORK_SIGMA)
 
     def round_trip_ms(self, data_centre: str) -> float:
         """Return the round-trip time to a data centre."""
